--- a/crates/cherrystream-core/src/raft/replacing.rs
+++ b/crates/cherrystream-core/src/raft/disk_replacement.rs
@@ -1,7 +1,7 @@
 //! How a leader lets a newcomer's disk count: the rules are told in `disks`.
 
 use super::disks::VACANT;
-use super::leading::Ack;
+use super::leader::Ack;
 use super::progress::Progress;
 use super::{Raft, Role};
 use crate::units::Timestamp;
--- a/crates/cherrystream-core/src/raft/leading.rs
+++ b/crates/cherrystream-core/src/raft/leader.rs
@@ -1,8 +1,8 @@
 //! What a leader does: proposals, replication, commitment, reads, handing over, new disks.
 
 use super::joining::Candidate;
+use super::placement::Askers;
 use super::progress::{ENTRIES_ON_WAY, Progress, RESEND_AFTER, end_of_message};
-use super::spread::Askers;
 use super::{NotLeader, Position, Raft, ReadyRead, Role};
 use crate::units::Timestamp;
 use cherrystream_schema::messages::{Command, Entry, RaftBody, Snapshot};
--- a/crates/cherrystream-core/src/raft/mod.rs
+++ b/crates/cherrystream-core/src/raft/mod.rs
@@ -6,21 +6,21 @@
 //! with a blank disk can never help to elect a leader that lacks an accepted change.
 
 pub mod asking;
+mod bootstrap;
+mod disk_replacement;
 mod disks;
 mod election;
-mod following;
-mod founding;
+mod follower;
 mod joining;
-mod leading;
+mod leader;
 mod log;
 mod options;
+mod placement;
 mod progress;
 mod ready;
-mod replacing;
-mod spread;
 
 pub use joining::{Admission, Newcomer};
-pub use leading::ReplicaView;
+pub use leader::ReplicaView;
 pub use log::Log;
 pub use options::Options;
 pub use progress::message_bytes;
@@ -28,7 +28,7 @@
 
 use crate::units::Timestamp;
 use cherrystream_schema::messages;
-use leading::Leading;
+use leader::Leading;
 use messages::{Command, HardState, Members, RaftBody, RaftMessage};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -60,7 +60,7 @@
     role: Role,
     election_due: Timestamp,
     heard_leader: Option<Timestamp>,
-    founding: founding::Founding,
+    founding: bootstrap::Founding,
     hard_dirty: bool,
     ready: Ready,
 }
@@ -85,7 +85,7 @@
             role: Role::Follower { leader: None },
             election_due: now,
             heard_leader: None,
-            founding: founding::Founding::default(),
+            founding: bootstrap::Founding::default(),
             hard_dirty: false,
             ready: Ready::default(),
             opts,
@@ -155,7 +155,7 @@
                 self.step_install(now, msg.from, snapshot, round);
             }
             RaftBody::AppendReply { success, match_index, round } => {
-                let ack = leading::Ack { from: msg.from, disk: msg.disk, round };
+                let ack = leader::Ack { from: msg.from, disk: msg.disk, round };
                 self.step_append_reply(now, ack, success, match_index);
             }
             RaftBody::TimeoutNow => {
