--- a/crates/cherrystream-core/src/raft/asking.rs
+++ b/crates/cherrystream-core/src/raft/asking.rs
@@ -1,35 +1,36 @@
-//! When a running replica asks for its place, and when it may give its data up.
+//! Decides when a running replica asks for a member slot, and when it may discard its data.
 //!
-//! A replica whose disk does not count asks until it does: a new leader does not know of a newcomer
-//! that an earlier one let in. One that hears of no quorum may have lost its place while it was away.
+//! A replica whose disk does not vote repeats its request, because a new leader has no record of
+//! the learners that an earlier one admitted. A replica without quorum contact may have lost its
+//! member slot while it was unreachable.
 
 use crate::units::Timestamp;
 use std::time::Duration;
 
-/// Time between questions of a replica whose disk does not count: two heartbeats.
-const ASK_AGAIN: Duration = Duration::from_millis(400);
-/// As `ASK_AGAIN`, for a replica that has no word from a quorum although its disk counts by its own
-/// log: longer than an election, which ends most such silences.
-const ASK_WHEN_LONELY: Duration = Duration::from_millis(2_000);
-/// Time without word from a quorum after which a replica asks whether its place was given away: two
-/// elections that fail.
-const LONELY_AFTER: Duration = Duration::from_millis(3_000);
+/// Time between join requests of a replica whose disk does not vote.
+const JOIN_RETRY_INTERVAL: Duration = Duration::from_millis(400);
+/// Time between join requests of a voter without quorum contact. Longer than an election, which
+/// ends most such periods.
+const ISOLATED_RETRY_INTERVAL: Duration = Duration::from_millis(2_000);
+/// Time without quorum contact after which a voter asks whether it still holds its member slot.
+/// Covers two failed elections.
+const ISOLATION_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Word from a leader with a quorum.
+/// Last contact with a leader that has a quorum.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum QuorumWord {
-    /// None since this process started.
+    /// No contact since this process started.
     #[default]
     NotYet,
-    /// The newest is this old.
+    /// The last contact was this long ago.
     Heard {
-        /// Its age.
+        /// Time since the last contact.
         age: Duration,
     },
 }
 
 impl QuorumWord {
-    /// Returns the age of the word, as far as there is any.
+    /// Returns the time since the last contact, if there was one.
     pub fn age(self) -> Option<Duration> {
         match self {
             QuorumWord::NotYet => None,
@@ -38,44 +39,44 @@
     }
 }
 
-/// Where a replica stands in its group, by what it knows itself.
+/// Membership of a replica as recorded by the replica itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PlaceView {
-    /// Whether it leads.
+    /// Whether it is the leader.
     pub leads: bool,
-    /// Whether its disk counts by its own log.
+    /// Whether its own log names its disk as a voting disk.
     pub votes: bool,
-    /// Its word from a quorum.
+    /// Last contact with a quorum.
     pub word: QuorumWord,
 }
 
 impl PlaceView {
-    /// Returns whether the replica is part of a quorum that works.
-    fn takes_part(&self) -> bool {
-        self.leads || self.votes && self.word.age().is_some_and(|age| age < LONELY_AFTER)
+    /// Returns whether the replica belongs to a working quorum.
+    fn is_active_member(&self) -> bool {
+        self.leads || self.votes && self.word.age().is_some_and(|age| age < ISOLATION_TIMEOUT)
     }
 }
 
-/// Decides when a replica asks whether its place is still its own.
+/// Schedules the join requests of a replica.
 #[derive(Debug)]
 pub struct Asking {
-    /// When the process started: silence from before that is none.
+    /// Start of the process; time without contact is counted from here.
     started: Timestamp,
     last: Timestamp,
 }
 
 impl Asking {
-    /// Creates it at the start of the process.
+    /// Creates a schedule that starts at `now`.
     pub fn new(now: Timestamp) -> Asking {
         Asking { started: now, last: now }
     }
 
-    /// Returns whether to ask now; a question counts as asked from then on.
+    /// Returns whether a join request is due, and if so records it as sent.
     pub fn is_due(&mut self, now: Timestamp, view: PlaceView) -> bool {
-        let gap = if view.votes { ASK_WHEN_LONELY } else { ASK_AGAIN };
+        let interval = if view.votes { ISOLATED_RETRY_INTERVAL } else { JOIN_RETRY_INTERVAL };
         let silence = view.word.age().unwrap_or_else(|| now.since(self.started));
-        let wants = !view.votes || silence >= LONELY_AFTER;
-        if view.leads || !wants || now.since(self.last) < gap {
+        let needs_slot = !view.votes || silence >= ISOLATION_TIMEOUT;
+        if view.leads || !needs_slot || now.since(self.last) < interval {
             return false;
         }
         self.last = now;
@@ -83,8 +84,8 @@
     }
 }
 
-/// Returns whether a replica that was told that its place is lost may give its data up: never while
-/// it is part of a quorum, for then the word is older than what it knows itself.
+/// Returns whether a replica may discard its data after a leader reported its member slot as lost.
+/// A member of a working quorum never may, because the report is then older than its own state.
 pub fn may_give_up(view: PlaceView) -> bool {
-    !view.takes_part()
+    !view.is_active_member()
 }
--- a/crates/cherrystream-core/src/raft/election.rs
+++ b/crates/cherrystream-core/src/raft/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-votes, votes and the leader's rest.
+//! Elections: pre-votes, votes and election timers.
 
 use super::{Position, Raft, Role};
 use crate::units::{Timestamp, micros};
@@ -8,23 +8,23 @@
 use std::time::Duration;
 
 impl Raft {
-    pub(super) fn reset_election(&mut self, now: Timestamp) {
-        // Until the first leader after a start is heard, nobody is disturbed by early tries: the others
-        // may have come a little later, and missed the last one.
-        let early = self.opts.first_election * 2;
-        let within = match self.heard_leader {
-            None => early.min(self.opts.election),
+    pub(super) fn reset_election_timer(&mut self, now: Timestamp) {
+        // Early elections disturb no leader until the first one since the start has been seen, and
+        // other replicas may have started later and missed the last attempt.
+        let first_timeout = self.opts.first_election * 2;
+        let timeout = match self.leader_last_seen {
+            None => first_timeout.min(self.opts.election),
             Some(_) => self.opts.election,
         };
-        self.expect_leader(now, within);
+        self.set_election_timer(now, timeout);
     }
 
-    pub(super) fn reset_first_election(&mut self, now: Timestamp) {
-        self.expect_leader(now, self.opts.first_election);
+    pub(super) fn reset_first_election_timer(&mut self, now: Timestamp) {
+        self.set_election_timer(now, self.opts.first_election);
     }
 
-    fn expect_leader(&mut self, now: Timestamp, within: Duration) {
-        let base = micros(within);
+    fn set_election_timer(&mut self, now: Timestamp, timeout: Duration) {
+        let base = micros(timeout);
         let wait = self.rng.random_range(base..base * 2);
         self.election_due = now + Duration::from_micros(wait);
     }
@@ -36,12 +36,12 @@
             self.hard_dirty = true;
         }
         self.role = Role::Follower { leader };
-        self.reset_election(now);
+        self.reset_election_timer(now);
     }
 
-    /// Asks for pre-votes, or for votes.
+    /// Requests pre-votes or votes from the other replicas.
     pub(super) fn start_election(&mut self, now: Timestamp, pre: bool, transfer: bool) {
-        self.reset_election(now);
+        self.reset_election_timer(now);
         if !pre {
             self.hard.term += 1;
             self.hard.voted_for = Some(self.opts.id);
@@ -55,8 +55,8 @@
                 last_index: last.index,
                 last_term: last.term,
                 transfer,
-                own_disk_counts: self.own_disk_counts(),
-                voter_disk: self.counted_disk(id),
+                own_disk_counts: self.own_disk_is_voting(),
+                voter_disk: self.voting_disk(id),
                 commit_index: committed.index,
                 commit_term: committed.term,
             };
@@ -80,19 +80,20 @@
         }
     }
 
-    /// Returns whether this replica may vote, and the candidate's disk counts.
-    fn trusts(&self, msg: &RaftMessage) -> bool {
+    /// Returns whether this replica may vote, and the candidate's disk is accepted as a voting
+    /// disk.
+    fn accepts_candidate(&self, msg: &RaftMessage) -> bool {
         let RaftBody::Vote { voter_disk, own_disk_counts, .. } = &msg.body else { return false };
-        let believed = *own_disk_counts && self.believes(msg.from, &msg.disk);
-        let candidate = believed || self.is_member(msg.from, &msg.disk);
-        // A founder that missed everything so far knows no members; it has promised nothing. Where
-        // places are vacated first, a log that is new enough is all that a candidate needs.
-        let any = self.members.is_none() || !self.is_group_of_three();
-        self.may_vote(voter_disk) && (candidate || any)
+        let claim_accepted = *own_disk_counts && self.accepts_claim(msg.from, &msg.disk);
+        let is_voting = claim_accepted || self.is_member(msg.from, &msg.disk);
+        // A replica without members has acknowledged nothing, so it may vote for any candidate.
+        // Where slots are vacated before they are filled, an up-to-date log is sufficient.
+        let accepts_any = self.members.is_none() || !self.is_group_of_three();
+        self.may_vote(voter_disk) && (is_voting || accepts_any)
     }
 
-    /// A replica votes when its log names its disk. It also believes a candidate that counts it:
-    /// the two replicas that hold the entry that names it hold all that came before.
+    /// Returns whether this replica may vote: its own log names its disk, or the candidate's log
+    /// does. In the latter case, the two replicas that hold the entry hold everything before it.
     fn may_vote(&self, voter_disk: &str) -> bool {
         self.is_voter() || voter_disk == self.opts.disk
     }
@@ -112,9 +113,9 @@
         Position { term, index: self.commit }
     }
 
-    /// What another replica knows to be committed is committed here too, if the logs match there.
-    /// A replica that restarted learns in this way which disks count before it votes.
-    pub(super) fn learn_commit(&mut self, msg: &RaftMessage) {
+    /// Advances the commit index to that of another replica if the logs match there. A restarted
+    /// replica learns in this way which disks vote before it votes itself.
+    pub(super) fn update_commit_from(&mut self, msg: &RaftMessage) {
         let (RaftBody::Vote { commit_index, commit_term, .. }
         | RaftBody::VoteReply { commit_index, commit_term, .. }) = msg.body
         else {
@@ -125,30 +126,31 @@
         }
     }
 
-    fn up_to_date(&self, last: Position) -> bool {
+    fn is_up_to_date(&self, last: Position) -> bool {
         last >= self.log.last()
     }
 
-    fn heard_leader_lately(&self, now: Timestamp) -> bool {
-        self.is_leader() || self.heard_leader.is_some_and(|at| now.since(at) < self.opts.election)
+    fn has_recent_leader(&self, now: Timestamp) -> bool {
+        self.is_leader()
+            || self.leader_last_seen.is_some_and(|at| now.since(at) < self.opts.election)
     }
 
-    /// A replica that hears its leader does not let a vote for a higher term disturb it, unless
-    /// the leader itself asked for the election.
-    pub(super) fn would_disturb(&self, now: Timestamp, msg: &RaftMessage) -> bool {
+    /// Returns whether a vote request would disrupt a working leader. Requests for a higher term
+    /// are ignored while the leader is in contact, unless the leader itself asked for the election.
+    pub(super) fn is_disruptive(&self, now: Timestamp, msg: &RaftMessage) -> bool {
         matches!(msg.body, RaftBody::Vote { pre: false, transfer: false, .. })
-            && self.heard_leader_lately(now)
+            && self.has_recent_leader(now)
     }
 
-    /// Takes a pre-vote or its reply; returns whether it was one.
+    /// Handles a pre-vote or its reply; returns whether the message was one.
     pub(super) fn step_pre_vote(&mut self, now: Timestamp, msg: &RaftMessage) -> bool {
         match msg.body {
             RaftBody::Vote { pre: true, .. } => {
-                let last = last_of(&msg.body);
+                let last = last_position(&msg.body);
                 let granted = msg.term > self.hard.term
-                    && self.trusts(msg)
-                    && self.up_to_date(last)
-                    && !self.heard_leader_lately(now);
+                    && self.accepts_candidate(msg)
+                    && self.is_up_to_date(last)
+                    && !self.has_recent_leader(now);
                 let mut reply = self.message(msg.from, self.vote_reply(true, granted));
                 if granted {
                     reply.term = msg.term;
@@ -180,15 +182,16 @@
     }
 
     pub(super) fn step_vote(&mut self, now: Timestamp, msg: &RaftMessage) {
-        let free = self.hard.voted_for.is_none_or(|id| id == msg.from);
-        let granted = free && self.trusts(msg) && self.up_to_date(last_of(&msg.body));
+        let can_vote = self.hard.voted_for.is_none_or(|id| id == msg.from);
+        let granted =
+            can_vote && self.accepts_candidate(msg) && self.is_up_to_date(last_position(&msg.body));
         if granted {
             self.hard.voted_for = Some(msg.from);
             self.hard_dirty = true;
-            self.reset_election(now);
+            self.reset_election_timer(now);
         }
         let reply = self.vote_reply(false, granted);
-        self.send_after(msg.from, reply);
+        self.send_after_save(msg.from, reply);
     }
 
     pub(super) fn step_vote_reply(&mut self, now: Timestamp, from: u64, disk: &str, granted: bool) {
@@ -201,8 +204,8 @@
         }
     }
 
-    /// Tells a leader or candidate of an old term about the present one.
-    pub(super) fn refuse_stale(&mut self, msg: &RaftMessage) {
+    /// Replies to a leader or candidate of an old term with the current term.
+    pub(super) fn reject_stale(&mut self, msg: &RaftMessage) {
         let body = match msg.body {
             RaftBody::Append { round, .. } | RaftBody::Install { round, .. } => {
                 RaftBody::AppendReply { success: false, match_index: 0, round }
@@ -210,12 +213,12 @@
             RaftBody::Vote { .. } => self.vote_reply(false, false),
             _ => return,
         };
-        self.send_after(msg.from, body);
+        self.send_after_save(msg.from, body);
     }
 }
 
 /// Returns the position of a candidate's last entry.
-fn last_of(body: &RaftBody) -> Position {
+fn last_position(body: &RaftBody) -> Position {
     match *body {
         RaftBody::Vote { last_index, last_term, .. } => {
             Position { term: last_term, index: last_index }
--- a/crates/cherrystream-core/src/raft/follower.rs
+++ b/crates/cherrystream-core/src/raft/follower.rs
@@ -1,14 +1,14 @@
-//! What a follower does with the leader's entries and snapshots.
+//! Follower: entries and snapshots received from the leader.
 
 use super::{Position, Raft, Role};
 use crate::units::Timestamp;
 use cherrystream_schema::messages::{Entry, RaftBody, Snapshot};
 
 impl Raft {
-    fn hear_leader(&mut self, now: Timestamp, from: u64) {
-        self.heard_leader = Some(now);
+    fn on_leader_message(&mut self, now: Timestamp, from: u64) {
+        self.leader_last_seen = Some(now);
         self.role = Role::Follower { leader: Some(from) };
-        self.reset_election(now);
+        self.reset_election_timer(now);
     }
 
     pub(super) fn step_append(
@@ -20,30 +20,30 @@
         commit: u64,
         round: u64,
     ) {
-        self.hear_leader(now, from);
-        self.told_commit = self.told_commit.max(commit);
+        self.on_leader_message(now, from);
+        self.known_commit = self.known_commit.max(commit);
         let reply = match self.append_after(prev, entries) {
             Ok(match_index) => {
                 self.advance_commit(commit.min(match_index));
                 RaftBody::AppendReply { success: true, match_index, round }
             }
-            Err(try_after) => {
-                RaftBody::AppendReply { success: false, match_index: try_after, round }
+            Err(match_hint) => {
+                RaftBody::AppendReply { success: false, match_index: match_hint, round }
             }
         };
-        self.send_after(from, reply);
+        self.send_after_save(from, reply);
     }
 
-    /// Appends entries after `prev`; returns the last index that now matches the leader's log,
-    /// or the index after which the leader should try.
+    /// Appends entries after `prev`. Returns the last index that now matches the leader's log, or a
+    /// hint for the index after which the leader should retry.
     fn append_after(&mut self, prev: Position, mut entries: Vec<Entry>) -> Result<u64, u64> {
         let base = self.log.base();
         let last = prev.index + entries.len() as u64;
         if prev.index < base.index {
-            // Everything up to the base is committed, so it matches without a look.
+            // Everything up to the base is committed and therefore matches.
             entries.retain(|e| e.index > base.index);
         } else if self.log.term_at(prev.index) != Some(prev.term) {
-            return Err(self.try_after(prev.index));
+            return Err(self.match_hint(prev.index));
         }
         for entry in entries {
             if self.log.term_at(entry.index) == Some(entry.term) {
@@ -58,7 +58,7 @@
         Ok(last.max(base.index))
     }
 
-    fn try_after(&self, prev_index: u64) -> u64 {
+    fn match_hint(&self, prev_index: u64) -> u64 {
         let last = self.log.last().index;
         if prev_index > last {
             return last;
@@ -73,19 +73,20 @@
         snapshot: Snapshot,
         round: u64,
     ) {
-        self.hear_leader(now, from);
+        self.on_leader_message(now, from);
         if self.log.term_at(snapshot.index) == Some(snapshot.term) {
-            // The log matches this far; entries beyond, which may count as acknowledged, stay.
+            // The log matches up to the snapshot. Entries after it stay, because they may have been
+            // acknowledged.
             self.advance_commit(snapshot.index);
         } else if snapshot.index > self.commit {
             self.log.reset(Position { term: snapshot.term, index: snapshot.index });
             self.pending_disks.clear();
             self.members = Some(snapshot.members.clone());
             self.commit = snapshot.index;
-            self.handed_out = snapshot.index;
+            self.delivered = snapshot.index;
             self.ready.installed = Some(snapshot);
         }
         let match_index = self.commit;
-        self.send_after(from, RaftBody::AppendReply { success: true, match_index, round });
+        self.send_after_save(from, RaftBody::AppendReply { success: true, match_index, round });
     }
 }
--- a/crates/cherrystream-core/src/raft/joining.rs
+++ b/crates/cherrystream-core/src/raft/joining.rs
@@ -1,8 +1,8 @@
-//! Places for replicas that the group does not know: on a new disk, or on a new host.
+//! Member slots for replicas that join on a new disk or a new host.
 //!
-//! The places of the group stay as it was founded; a newcomer takes a vacant one, or that of a
-//! replica that is gone. It catches up first, and its disk counts from the entry on that names it
-//! (see `disks`), so that letting it in promises nothing yet.
+//! The number of member slots is fixed at bootstrap. A joining replica fills a vacant slot, or that
+//! of a lost replica. It catches up as a learner first, and votes only once an entry names its disk
+//! (see `disks`), so admitting it does not change any quorum.
 
 use super::asking::QuorumWord;
 use super::disks::VACANT;
@@ -13,190 +13,191 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Silence after which a replica's number may be given to a newcomer. A restart is shorter.
-const REPLACED_AFTER: Duration = Duration::from_millis(1_500);
-/// As `REPLACED_AFTER`, for a newcomer that stands by: it comes in nobody's place, so a host that was
-/// lost for a while keeps its own.
-const STANDBY_AFTER: Duration = Duration::from_secs(10);
-/// Silence after which a newcomer that was let in is given up.
-const CANDIDATE_LIFE: Duration = Duration::from_secs(3);
+/// Silence after which another replica may fill a member slot. Longer than a restart.
+const REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Silence after which a standby replica may fill a member slot. Longer than `REPLACEMENT_TIMEOUT`,
+/// so that a host that was unreachable for a while keeps its slot.
+const STANDBY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Silence after which a learner is dropped.
+const LEARNER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A replica that asks for a place.
+/// A replica that asks for a member slot.
 #[derive(Clone, Copy, Debug)]
 pub struct Newcomer<'a> {
-    /// Its address.
+    /// Address of the replica.
     pub address: &'a str,
     /// Identifier of its disk.
     pub disk: &'a str,
-    /// Failure domain of its host; empty where places do not go by it.
+    /// Failure domain of its host; empty where it does not affect the placement.
     pub failure_domain: &'a str,
-    /// Whether it stands by; else it comes in the place of another.
+    /// Whether it is a standby replica; otherwise it replaces a lost one.
     pub stands_by: bool,
-    /// Number that it runs under already. It can use no other one with the data that it holds.
+    /// Number that it already runs under. Its data cannot be used under another one.
     pub runs_as: Option<u64>,
 }
 
-/// What a leader says to a replica that asks for a place.
+/// A leader's answer to a replica that asks for a member slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may run under this number.
+    /// The replica may run under this number.
     Granted(u64),
-    /// No place is free for it now; it may ask again.
+    /// No slot is free for it at present; it may retry.
     NotNow,
-    /// The log names another disk for the place that it runs under, and the leader hears that one.
+    /// The log names another disk for its slot, and the leader is in contact with that disk.
     Lost,
 }
 
-/// A newcomer that was let in to catch up.
+/// A replica that was admitted to catch up.
 #[derive(Debug)]
-pub(super) struct Candidate {
+pub(super) struct Learner {
     address: String,
     disk: String,
     failure_domain: String,
-    heard: Timestamp,
+    last_seen: Timestamp,
 }
 
-impl Candidate {
-    /// Notes an acknowledgement.
+impl Learner {
+    /// Records an acknowledgement from a disk.
     pub(super) fn on_ack(&mut self, now: Timestamp, disk: &str) {
         if self.disk == disk {
-            self.heard = now;
+            self.last_seen = now;
         }
     }
 
-    /// Returns whether the newcomer has this disk.
+    /// Returns whether the learner has this disk.
     pub(super) fn has_disk(&self, disk: &str) -> bool {
         self.disk == disk
     }
 
-    /// Returns the address of the newcomer.
+    /// Returns the address of the learner.
     pub(super) fn address(&self) -> &str {
         &self.address
     }
 
-    /// Returns the failure domain of the newcomer, where it is known.
+    /// Returns the failure domain of the learner, if known.
     pub(super) fn failure_domain(&self) -> Option<&str> {
         Some(self.failure_domain.as_str()).filter(|domain| !domain.is_empty())
     }
 
     pub(super) fn is_alive(&self, now: Timestamp) -> bool {
-        now.since(self.heard) < CANDIDATE_LIFE
+        now.since(self.last_seen) < LEARNER_TIMEOUT
     }
 }
 
 impl Raft {
-    /// Lets a newcomer in to catch up, if a place is free for it. Only a leader does so.
+    /// Admits a joining replica as a learner if a member slot is free for it. Only a leader admits.
     pub fn admit(&mut self, now: Timestamp, newcomer: Newcomer<'_>) -> Admission {
         if !self.is_leader() {
             return Admission::NotNow;
         }
         if newcomer.disk == self.opts.disk {
-            // Its own question came round to it by another replica.
+            // The leader's own request was forwarded back to it.
             return Admission::Granted(self.opts.id);
         }
         if self.own_address() == Some(newcomer.address) {
             return Admission::NotNow;
         }
-        self.note_asker(now, newcomer);
+        self.record_pending_join(now, newcomer);
         let id = match newcomer.runs_as {
-            Some(id) if self.lost_place(id, newcomer.disk) => return Admission::Lost,
-            Some(id) => Some(id).filter(|id| self.may_take(now, *id, newcomer)),
-            None => self.place_for(now, newcomer),
+            Some(id) if self.has_lost_slot(id, newcomer.disk) => return Admission::Lost,
+            Some(id) => Some(id).filter(|id| self.may_use_slot(now, *id, newcomer)),
+            None => self.find_slot(now, newcomer),
         };
-        let (Some(id), Role::Leader(leading)) = (id, &mut self.role) else {
+        let (Some(id), Role::Leader(state)) = (id, &mut self.role) else {
             return Admission::NotNow;
         };
         let Newcomer { address, disk, failure_domain, .. } = newcomer;
-        let candidate = Candidate {
+        let learner = Learner {
             address: address.into(),
             disk: disk.into(),
             failure_domain: failure_domain.into(),
-            heard: now,
+            last_seen: now,
         };
-        leading.candidates.insert(id, candidate);
+        state.learners.insert(id, learner);
         Admission::Granted(id)
     }
 
     fn own_address(&self) -> Option<&str> {
-        let first = || self.opts.addresses.get(&self.opts.id).map(String::as_str);
-        self.logged_address(self.opts.id).or_else(first)
+        let initial = || self.opts.addresses.get(&self.opts.id).map(String::as_str);
+        self.logged_address(self.opts.id).or_else(initial)
     }
 
-    /// Returns whether a committed entry names another disk for a place, and that disk is there: it
-    /// is this leader's own, or was the last one heard under that number.
-    fn lost_place(&self, id: u64, disk: &str) -> bool {
-        let Role::Leader(leading) = &self.role else { return false };
+    /// Returns whether a committed entry names another disk for a slot, and that disk is in use: it
+    /// is this leader's own disk, or the last one seen under that number.
+    fn has_lost_slot(&self, id: u64, disk: &str) -> bool {
+        let Role::Leader(state) = &self.role else { return false };
         let committed = self.members.as_ref().and_then(|m| m.disks.get(&id.to_string()));
-        let Some(counted) = committed.filter(|d| *d != VACANT && *d != disk) else { return false };
+        let Some(voting) = committed.filter(|d| *d != VACANT && *d != disk) else { return false };
         if id == self.opts.id {
-            return *counted == self.opts.disk;
+            return *voting == self.opts.disk;
         }
-        leading.progress.get(&id).is_some_and(|p| p.disk.as_ref() == Some(counted))
+        state.progress.get(&id).is_some_and(|p| p.disk.as_ref() == Some(voting))
     }
 
     /// Returns whether a replica may run under the number that it asks for.
-    fn may_take(&self, now: Timestamp, id: u64, newcomer: Newcomer<'_>) -> bool {
+    fn may_use_slot(&self, now: Timestamp, id: u64, newcomer: Newcomer<'_>) -> bool {
         let exists = self.others().contains(&id);
-        let free = || self.is_open(now, id) || self.is_silent(now, id, newcomer.stands_by);
-        exists && (self.is_known(id, newcomer.disk) || free())
+        let free = || self.is_free(now, id) || self.is_replaceable(now, id, newcomer.stands_by);
+        exists && (self.is_assigned(id, newcomer.disk) || free())
     }
 
-    fn place_for(&self, now: Timestamp, newcomer: Newcomer<'_>) -> Option<u64> {
+    fn find_slot(&self, now: Timestamp, newcomer: Newcomer<'_>) -> Option<u64> {
         let Newcomer { address, disk, stands_by, .. } = newcomer;
         let others = self.others();
         let find = |wanted: &dyn Fn(u64) -> bool| others.iter().copied().find(|id| wanted(*id));
-        // A newcomer that asks again gets the same number.
-        let known = || find(&|id| self.is_known(id, disk));
+        // Repeated requests of a replica get the same number.
+        let assigned = || find(&|id| self.is_assigned(id, disk));
         let same_host = || find(&|id| self.logged_address(id) == Some(address));
-        let suits = |id: u64| self.suits(now, id, newcomer);
-        let open = || find(&|id| self.is_open(now, id) && suits(id));
-        let silent = || find(&|id| self.is_silent(now, id, stands_by) && suits(id));
-        known().or_else(same_host).or_else(open).or_else(silent)
+        let suits = |id: u64| self.is_suitable(now, id, newcomer);
+        let vacant = || find(&|id| self.is_free(now, id) && suits(id));
+        let replaceable = || find(&|id| self.is_replaceable(now, id, stands_by) && suits(id));
+        assigned().or_else(same_host).or_else(vacant).or_else(replaceable)
     }
 
-    /// Returns the failure domain of a replica, as far as it is known.
+    /// Returns the failure domain of a replica, if known.
     pub fn failure_domain_of(&self, now: Timestamp, id: u64) -> Option<&str> {
-        if let Role::Leader(leading) = &self.role
-            && let Some(candidate) = leading.candidates.get(&id).filter(|c| c.is_alive(now))
+        if let Role::Leader(state) = &self.role
+            && let Some(learner) = state.learners.get(&id).filter(|l| l.is_alive(now))
         {
-            return candidate.failure_domain();
+            return learner.failure_domain();
         }
         self.logged_failure_domain(id)
     }
 
-    /// Returns the failure domain of this replica, where places go by it.
+    /// Returns the failure domain of this replica, if configured.
     pub(super) fn own_failure_domain(&self) -> Option<String> {
         Some(self.opts.failure_domain.clone()).filter(|domain| !domain.is_empty())
     }
 
-    /// Returns whether a disk counts for a place, or was let in to catch up for it.
-    fn is_known(&self, id: u64, disk: &str) -> bool {
-        let Role::Leader(leading) = &self.role else { return false };
-        let candidate = leading.candidates.get(&id);
-        self.is_member(id, disk) || candidate.is_some_and(|c| c.disk == disk)
+    /// Returns whether a disk is the voting disk of a slot, or that of its learner.
+    fn is_assigned(&self, id: u64, disk: &str) -> bool {
+        let Role::Leader(state) = &self.role else { return false };
+        let learner = state.learners.get(&id);
+        self.is_member(id, disk) || learner.is_some_and(|l| l.disk == disk)
     }
 
-    /// Returns whether a newcomer is catching up for a place.
-    pub(super) fn is_taken(&self, now: Timestamp, id: u64) -> bool {
-        let Role::Leader(leading) = &self.role else { return false };
-        leading.candidates.get(&id).is_some_and(|c| c.is_alive(now))
+    /// Returns whether a learner is catching up for a slot.
+    pub(super) fn has_learner(&self, now: Timestamp, id: u64) -> bool {
+        let Role::Leader(state) = &self.role else { return false };
+        state.learners.get(&id).is_some_and(|l| l.is_alive(now))
     }
 
-    /// Returns whether a place is vacant, and nobody is catching up for it.
-    fn is_open(&self, now: Timestamp, id: u64) -> bool {
-        self.is_vacant(id) && !self.is_taken(now, id)
+    /// Returns whether a slot is vacant and has no learner.
+    fn is_free(&self, now: Timestamp, id: u64) -> bool {
+        self.is_vacant(id) && !self.has_learner(now, id)
     }
 
-    /// Returns whether the holder of a place has been silent for so long that another may have it.
-    fn is_silent(&self, now: Timestamp, id: u64, stands_by: bool) -> bool {
-        let Role::Leader(leading) = &self.role else { return false };
-        let replaced_after = if stands_by { STANDBY_AFTER } else { REPLACED_AFTER };
-        let heard = leading.progress.get(&id).map(|p| p.heard);
-        !self.is_taken(now, id) && heard.is_some_and(|at| now.since(at) >= replaced_after)
+    /// Returns whether the holder of a slot has been silent for so long that another replica may
+    /// have it.
+    fn is_replaceable(&self, now: Timestamp, id: u64, stands_by: bool) -> bool {
+        let Role::Leader(state) = &self.role else { return false };
+        let timeout = if stands_by { STANDBY_TIMEOUT } else { REPLACEMENT_TIMEOUT };
+        let last_seen = state.progress.get(&id).map(|p| p.last_seen);
+        !self.has_learner(now, id) && last_seen.is_some_and(|at| now.since(at) >= timeout)
     }
 
-    /// Returns where all replicas are; nothing where their addresses are fixed. The address of a vacant place may be
-    /// empty.
+    /// Returns the addresses and failure domains of all replicas; empty where addresses are fixed.
+    /// The address of a vacant slot may be empty.
     pub fn addresses(&self, now: Timestamp) -> BTreeMap<u64, ReplicaAddress> {
         let replica = |id: &u64| {
             let address = self.address_of(now, *id)?;
@@ -206,37 +207,37 @@
         self.opts.replicas.iter().filter_map(replica).collect()
     }
 
-    /// Returns the address of a replica as far as it is not fixed: that of a newcomer which is
-    /// catching up under its number, else the one in the log, else the one it began with.
+    /// Returns the address of a replica, unless it is fixed: that of its learner, else the one in
+    /// the log, else the configured one.
     pub fn address_of(&self, now: Timestamp, id: u64) -> Option<String> {
-        if let Role::Leader(leading) = &self.role
-            && let Some(candidate) = leading.candidates.get(&id).filter(|c| c.is_alive(now))
+        if let Role::Leader(state) = &self.role
+            && let Some(learner) = state.learners.get(&id).filter(|l| l.is_alive(now))
         {
-            return Some(candidate.address.clone());
+            return Some(learner.address.clone());
         }
         let logged = self.logged_address(id).map(str::to_string);
         logged.or_else(|| self.opts.addresses.get(&id).cloned())
     }
 
-    /// Returns how old the word of a leader with a quorum is here.
+    /// Returns the last contact with a leader that has a quorum.
     pub fn quorum_word(&self, now: Timestamp) -> QuorumWord {
         match &self.role {
-            Role::Leader(_) => QuorumWord::Heard { age: self.quorum_heard(now) },
-            _ => match self.heard_leader {
+            Role::Leader(_) => QuorumWord::Heard { age: self.time_since_quorum(now) },
+            _ => match self.leader_last_seen {
                 Some(at) => QuorumWord::Heard { age: now.since(at) },
                 None => QuorumWord::NotYet,
             },
         }
     }
 
-    /// Returns the time since a quorum was last heard, this replica included.
-    fn quorum_heard(&self, now: Timestamp) -> Duration {
-        let Role::Leader(leading) = &self.role else { return Duration::MAX };
+    /// Returns the time since this leader was last in contact with a quorum, itself included.
+    fn time_since_quorum(&self, now: Timestamp) -> Duration {
+        let Role::Leader(state) = &self.role else { return Duration::MAX };
         let needed = self.quorum() - usize::from(self.is_voter());
-        // One that has not spoken yet was heard, so to say, when this replica was elected.
-        let counted = |(id, p): &(&u64, &Progress)| p.disk.is_none() || self.counts(**id, p);
-        let counted = leading.progress.iter().filter(counted);
-        let mut ages: Vec<Duration> = counted.map(|(_, p)| now.since(p.heard)).collect();
+        // A replica that has not replied yet counts as seen when this replica was elected.
+        let voting = |(id, p): &(&u64, &Progress)| p.disk.is_none() || self.is_voting(**id, p);
+        let voting = state.progress.iter().filter(voting);
+        let mut ages: Vec<Duration> = voting.map(|(_, p)| now.since(p.last_seen)).collect();
         ages.sort_unstable();
         match needed.checked_sub(1) {
             None => Duration::ZERO,
--- a/crates/cherrystream-core/src/raft/leader.rs
+++ b/crates/cherrystream-core/src/raft/leader.rs
@@ -1,8 +1,8 @@
-//! What a leader does: proposals, replication, commitment, reads, handing over, new disks.
+//! Leader: proposals, replication, commits, linearizable reads and leadership transfer.
 
-use super::joining::Candidate;
-use super::placement::Askers;
-use super::progress::{ENTRIES_ON_WAY, Progress, RESEND_AFTER, end_of_message};
+use super::joining::Learner;
+use super::placement::PendingJoins;
+use super::progress::{MAX_ENTRIES_IN_FLIGHT, Progress, RESEND_TIMEOUT, end_of_message};
 use super::{NotLeader, Position, Raft, ReadyRead, Role};
 use crate::units::Timestamp;
 use cherrystream_schema::messages::{Command, Entry, RaftBody, Snapshot};
@@ -10,18 +10,18 @@
 
 /// State of a leader.
 #[derive(Debug, Default)]
-pub(super) struct Leading {
+pub(super) struct LeaderState {
     pub(super) progress: BTreeMap<u64, Progress>,
-    /// Replicas that were let in to catch up, by the number that they run under.
-    pub(super) candidates: BTreeMap<u64, Candidate>,
-    /// Replicas without a place that asked for one.
-    pub(super) askers: Askers,
+    /// Replicas that are catching up, by the number that they run under.
+    pub(super) learners: BTreeMap<u64, Learner>,
+    /// Replicas without a member slot that asked for one.
+    pub(super) pending_joins: PendingJoins,
     round: u64,
     heartbeat_due: Timestamp,
     reads: Vec<PendingRead>,
     transfer_until: Option<Timestamp>,
     /// Index of an uncommitted disk replacement.
-    pub(super) replacing: Option<u64>,
+    pub(super) pending_replacement: Option<u64>,
 }
 
 #[derive(Debug)]
@@ -30,14 +30,14 @@
     round: u64,
 }
 
-/// Who acknowledged what.
+/// Origin of an acknowledgement.
 pub(super) struct Ack {
     pub(super) from: u64,
     pub(super) disk: String,
     pub(super) round: u64,
 }
 
-/// A replica as the leader sees it.
+/// Replication state of a replica as recorded by the leader.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicaView {
     /// Number of the replica.
@@ -46,21 +46,21 @@
     pub match_index: u64,
     /// Whether its acknowledgements count.
     pub votes: bool,
-    /// When it was last heard.
+    /// Time of its last message.
     pub heard: Timestamp,
 }
 
 impl Raft {
     pub(super) fn become_leader(&mut self, now: Timestamp) {
         let next = self.log.last().index + 1;
-        let fresh = |id| (id, Progress { next, heard: now, ..Progress::default() });
+        let fresh = |id| (id, Progress { next, last_seen: now, ..Progress::default() });
         let progress = self.others().into_iter().map(fresh).collect();
-        self.role = Role::Leader(Leading { progress, ..Leading::default() });
-        self.append_own(Command::Noop { by: self.opts.id });
+        self.role = Role::Leader(LeaderState { progress, ..LeaderState::default() });
+        self.append_command(Command::Noop { by: self.opts.id });
         self.broadcast(now);
     }
 
-    pub(super) fn append_own(&mut self, command: Command) -> Position {
+    pub(super) fn append_command(&mut self, command: Command) -> Position {
         let position = Position { term: self.hard.term, index: self.log.last().index + 1 };
         self.push_entry(Entry { term: position.term, index: position.index, command });
         position
@@ -70,12 +70,12 @@
     ///
     /// # Errors
     ///
-    /// Fails on a replica that does not lead, or is handing its leadership over.
+    /// Fails if this replica is not the leader, or is transferring its leadership.
     pub fn propose(&mut self, command: Command) -> Result<Position, NotLeader> {
         let leader = self.leader();
         match &self.role {
-            Role::Leader(leading) if leading.transfer_until.is_none() => {
-                Ok(self.append_own(command))
+            Role::Leader(state) if state.transfer_until.is_none() => {
+                Ok(self.append_command(command))
             }
             _ => Err(NotLeader { leader }),
         }
@@ -90,23 +90,23 @@
         }
     }
 
-    /// Asks for a confirmed read: [`super::Ready::reads`] names it once a quorum has shown that
-    /// this replica still leads.
+    /// Requests a linearizable read: [`super::Ready::reads`] contains it once a quorum has
+    /// confirmed that this replica is still the leader.
     ///
     /// # Errors
     ///
-    /// Fails on a replica that does not lead.
+    /// Fails if this replica is not the leader.
     pub fn read(&mut self, now: Timestamp, ticket: u64) -> Result<(), NotLeader> {
         let leader = self.leader();
-        let Role::Leader(leading) = &mut self.role else {
+        let Role::Leader(state) = &mut self.role else {
             return Err(NotLeader { leader });
         };
-        let round = leading.round + 1;
-        // Reads that come together share one round of heartbeats.
-        let first = leading.reads.last().is_none_or(|r| r.round < round);
-        leading.reads.push(PendingRead { ticket, round });
+        let round = state.round + 1;
+        // Reads that arrive together share one round of heartbeats.
+        let first = state.reads.last().is_none_or(|r| r.round < round);
+        state.reads.push(PendingRead { ticket, round });
         if first {
-            leading.heartbeat_due = now;
+            state.heartbeat_due = now;
         }
         Ok(())
     }
@@ -118,50 +118,51 @@
         }
     }
 
-    /// Hands the leadership to the replica that is furthest on.
+    /// Transfers the leadership to a replica whose log is complete.
     pub fn transfer(&mut self, now: Timestamp) {
         let until = now + self.opts.election;
-        if let Role::Leader(leading) = &mut self.role {
-            leading.transfer_until = Some(until);
+        if let Role::Leader(state) = &mut self.role {
+            state.transfer_until = Some(until);
             self.continue_transfer();
         }
     }
 
     fn continue_transfer(&mut self) {
         let last = self.log.last().index;
-        let Role::Leader(leading) = &self.role else { return };
-        if leading.transfer_until.is_none() {
+        let Role::Leader(state) = &self.role else { return };
+        if state.transfer_until.is_none() {
             return;
         }
-        let ready = leading.progress.iter().find(|(id, p)| {
+        let ready = state.progress.iter().find(|(id, p)| {
             p.match_index == last && p.disk.as_deref().is_some_and(|d| self.is_member(**id, d))
         });
         if let Some((id, _)) = ready {
             let id = *id;
-            self.send_after(id, RaftBody::TimeoutNow);
+            self.send_after_save(id, RaftBody::TimeoutNow);
         }
     }
 
-    /// Returns what the leader knows of the other replicas.
+    /// Returns the replication state of the other replicas; empty if this replica is not the
+    /// leader.
     pub fn replica_views(&self) -> Vec<ReplicaView> {
-        let Role::Leader(leading) = &self.role else { return Vec::new() };
+        let Role::Leader(state) = &self.role else { return Vec::new() };
         let view = |(id, p): (&u64, &Progress)| ReplicaView {
             id: *id,
             match_index: p.match_index,
-            votes: self.counts(*id, p),
-            heard: p.heard,
+            votes: self.is_voting(*id, p),
+            heard: p.last_seen,
         };
-        leading.progress.iter().map(view).collect()
+        state.progress.iter().map(view).collect()
     }
 
     pub(super) fn tick_leader(&mut self, now: Timestamp) {
-        let Role::Leader(leading) = &mut self.role else { return };
-        if leading.transfer_until.is_some_and(|until| now >= until) {
-            leading.transfer_until = None;
+        let Role::Leader(state) = &mut self.role else { return };
+        if state.transfer_until.is_some_and(|until| now >= until) {
+            state.transfer_until = None;
         }
-        let due = now >= leading.heartbeat_due;
-        // A leader that hears no quorum may have been replaced: it stops leading.
-        if !self.hears_quorum(now) {
+        let due = now >= state.heartbeat_due;
+        // Without quorum contact another leader may have been elected, so this one steps down.
+        if !self.has_quorum_contact(now) {
             self.become_follower(now, self.hard.term, None);
             return;
         }
@@ -170,52 +171,53 @@
         }
     }
 
-    fn hears_quorum(&self, now: Timestamp) -> bool {
-        let Role::Leader(leading) = &self.role else { return false };
-        let lately = |p: &Progress| now.since(p.heard) < self.opts.election * 2;
-        // A replica that has not spoken yet has the benefit of the doubt for the first while.
-        let heard =
-            |(id, p): (&u64, &Progress)| lately(p) && (p.disk.is_none() || self.counts(*id, p));
-        let others = leading.progress.iter().filter(|(id, p)| heard((id, p))).count();
+    fn has_quorum_contact(&self, now: Timestamp) -> bool {
+        let Role::Leader(state) = &self.role else { return false };
+        let is_recent = |p: &Progress| now.since(p.last_seen) < self.opts.election * 2;
+        // A replica that has not replied yet counts as in contact for the first period.
+        let in_contact = |(id, p): (&u64, &Progress)| {
+            is_recent(p) && (p.disk.is_none() || self.is_voting(*id, p))
+        };
+        let others = state.progress.iter().filter(|(id, p)| in_contact((id, p))).count();
         others + usize::from(self.is_voter()) >= self.quorum()
     }
 
-    pub(super) fn counts(&self, id: u64, progress: &Progress) -> bool {
+    pub(super) fn is_voting(&self, id: u64, progress: &Progress) -> bool {
         progress.disk.as_deref().is_some_and(|disk| self.is_member(id, disk))
     }
 
     fn broadcast(&mut self, now: Timestamp) {
         let heartbeat = self.opts.heartbeat;
-        if let Role::Leader(leading) = &mut self.role {
-            leading.round += 1;
-            leading.heartbeat_due = now + heartbeat;
+        if let Role::Leader(state) = &mut self.role {
+            state.round += 1;
+            state.heartbeat_due = now + heartbeat;
         }
         for id in self.others() {
             self.replicate(now, id, true);
         }
-        self.finish_reads();
+        self.confirm_reads();
     }
 
-    /// Sends what a replica lacks, or a heartbeat.
+    /// Sends the entries that a replica lacks, or a heartbeat.
     fn replicate(&mut self, now: Timestamp, id: u64, heartbeat: bool) {
         let last = self.log.last().index;
         let base = self.log.base().index;
         let commit = self.commit;
-        let installing_until = now + self.opts.election * 4;
-        // Where addresses are fixed, nobody asks for a place.
-        let waits_for_newcomer = self.is_vacant(id) && self.needs_addresses();
-        let Role::Leader(leading) = &mut self.role else { return };
-        let round = leading.round;
-        // Nobody is there who could take anything.
-        if waits_for_newcomer && !leading.candidates.contains_key(&id) {
+        let snapshot_deadline = now + self.opts.election * 4;
+        // Where addresses are fixed, no replica asks for a member slot.
+        let awaits_learner = self.is_vacant(id) && self.tracks_addresses();
+        let Role::Leader(state) = &mut self.role else { return };
+        let round = state.round;
+        // The vacant slot has no learner to replicate to.
+        if awaits_learner && !state.learners.contains_key(&id) {
             return;
         }
-        let Some(progress) = leading.progress.get_mut(&id) else { return };
+        let Some(progress) = state.progress.get_mut(&id) else { return };
         if progress.next <= base {
-            // A state that nobody is there to take is not written down.
-            let is_there = now.since(progress.heard) < self.opts.election * 2;
-            if is_there && progress.installing_until.is_none_or(|until| now >= until) {
-                progress.installing_until = Some(installing_until);
+            // No snapshot is made for a replica that is unreachable.
+            let is_reachable = now.since(progress.last_seen) < self.opts.election * 2;
+            if is_reachable && progress.snapshot_deadline.is_none_or(|until| now >= until) {
+                progress.snapshot_deadline = Some(snapshot_deadline);
                 self.ready.need_snapshot.push(id);
             }
             if heartbeat {
@@ -223,24 +225,25 @@
             }
             return;
         }
-        if progress.is_stuck(now) {
-            // What the log no longer holds comes with another snapshot, when the last one is given up.
+        if progress.has_stalled(now) {
+            // Entries that the log no longer holds are sent in another snapshot once the last one
+            // has timed out.
             progress.next = progress.match_index + 1;
-            progress.progressed = now;
+            progress.last_progress = now;
             if progress.next <= base {
                 return;
             }
         }
-        let room = (progress.match_index + ENTRIES_ON_WAY).min(last);
+        let limit = (progress.match_index + MAX_ENTRIES_IN_FLIGHT).min(last);
         let first = progress.next;
-        let end = end_of_message(&self.log, first, room);
+        let end = end_of_message(&self.log, first, limit);
         if first > end && !heartbeat {
             return;
         }
         progress.next = first.max(end + 1);
-        // A heartbeat that runs ahead of what the replica holds would be rejected, and everything
-        // on its way sent once more.
-        let ahead = first > end && progress.known;
+        // A heartbeat ahead of what the replica holds would be rejected, and all entries in flight
+        // sent again.
+        let ahead = first > end && progress.match_known;
         let prev_index = if ahead { progress.match_index.max(base) } else { first - 1 };
         let body = RaftBody::Append {
             prev_index,
@@ -249,11 +252,11 @@
             commit,
             round,
         };
-        self.send_before(id, body);
+        self.send_now(id, body);
     }
 
-    /// Sends a heartbeat to a replica that waits for a snapshot, which may be on its way for long: it
-    /// must not take the leader for dead, and its word counts for the leader's quorum.
+    /// Sends a heartbeat to a replica that waits for a snapshot. Keeps it from starting an election
+    /// while the snapshot is in flight, and its replies count towards the leader's quorum.
     fn heartbeat_at_base(&mut self, id: u64, round: u64) {
         let Position { term, index } = self.log.base();
         let commit = self.commit;
@@ -264,17 +267,17 @@
             commit,
             round,
         };
-        self.send_before(id, body);
+        self.send_now(id, body);
     }
 
     /// Sends a snapshot to a replica that [`super::Ready::need_snapshot`] named.
     pub fn send_snapshot(&mut self, to: u64, snapshot: Snapshot) {
-        let Role::Leader(leading) = &mut self.role else { return };
-        let round = leading.round;
-        if let Some(progress) = leading.progress.get_mut(&to) {
+        let Role::Leader(state) = &mut self.role else { return };
+        let round = state.round;
+        if let Some(progress) = state.progress.get_mut(&to) {
             progress.next = snapshot.index + 1;
         }
-        self.send_before(to, RaftBody::Install { snapshot, round });
+        self.send_now(to, RaftBody::Install { snapshot, round });
     }
 
     pub(super) fn step_append_reply(
@@ -285,32 +288,32 @@
         match_index: u64,
     ) {
         let last = self.log.last().index;
-        let Role::Leader(leading) = &mut self.role else { return };
-        let Some(progress) = leading.progress.get_mut(&ack.from) else { return };
-        // Another disk knows nothing of what the former one acknowledged.
+        let Role::Leader(state) = &mut self.role else { return };
+        let Some(progress) = state.progress.get_mut(&ack.from) else { return };
+        // A new disk holds nothing of what the previous one acknowledged.
         if progress.disk.as_ref() != Some(&ack.disk) {
             *progress =
                 Progress { disk: Some(ack.disk.clone()), next: last + 1, ..Progress::default() };
         }
-        progress.heard = now;
-        if let Some(candidate) = leading.candidates.get_mut(&ack.from) {
-            candidate.on_ack(now, &ack.disk);
+        progress.last_seen = now;
+        if let Some(learner) = state.learners.get_mut(&ack.from) {
+            learner.on_ack(now, &ack.disk);
         }
         progress.acked_round = progress.acked_round.max(ack.round);
         if success {
             if match_index > progress.match_index {
-                progress.progressed = now;
+                progress.last_progress = now;
             }
-            progress.known = true;
+            progress.match_known = true;
             progress.match_index = progress.match_index.max(match_index);
             progress.next = progress.next.max(progress.match_index + 1);
-            progress.installing_until = None;
-        } else if progress.known && now.since(progress.progressed) < RESEND_AFTER {
-            // Entries that answer this are on their way.
+            progress.snapshot_deadline = None;
+        } else if progress.match_known && now.since(progress.last_progress) < RESEND_TIMEOUT {
+            // Entries sent since then are still in flight.
             return;
         } else {
-            progress.known = true;
-            progress.progressed = now;
+            progress.match_known = true;
+            progress.last_progress = now;
             progress.next = (match_index + 1).min(progress.next).max(progress.match_index + 1);
         }
         if success {
@@ -318,7 +321,7 @@
             self.replace_disk_if_caught_up(now, &ack);
             self.continue_transfer();
         }
-        self.finish_reads();
+        self.confirm_reads();
         self.replicate(now, ack.from, false);
     }
 
@@ -329,15 +332,15 @@
     }
 
     fn commit_by_quorum(&mut self) {
-        let Role::Leader(leading) = &self.role else { return };
-        let counted = leading.progress.iter().filter(|(id, p)| self.counts(**id, p));
-        let mut matches: Vec<u64> = counted.map(|(_, p)| p.match_index).collect();
+        let Role::Leader(state) = &self.role else { return };
+        let voting = state.progress.iter().filter(|(id, p)| self.is_voting(**id, p));
+        let mut matches: Vec<u64> = voting.map(|(_, p)| p.match_index).collect();
         if self.is_voter() {
             matches.push(self.log.saved());
         }
         matches.sort_unstable_by(|a, b| b.cmp(a));
         let Some(&to) = matches.get(self.quorum() - 1) else { return };
-        // Only an entry of the present term proves that no other leader can undo it.
+        // Only a committed entry of the current term ensures that no other leader overwrites it.
         if to > self.commit && self.log.term_at(to) == Some(self.hard.term) {
             self.advance_commit(to);
             self.after_commit();
@@ -346,35 +349,35 @@
 
     fn after_commit(&mut self) {
         let commit = self.commit;
-        if let Role::Leader(leading) = &mut self.role
-            && leading.replacing.is_some_and(|index| index <= commit)
+        if let Role::Leader(state) = &mut self.role
+            && state.pending_replacement.is_some_and(|index| index <= commit)
         {
-            leading.replacing = None;
-            // The others learn at once that the new disk votes.
-            leading.heartbeat_due = Timestamp::default();
+            state.pending_replacement = None;
+            // Sends a heartbeat at once, so that the other replicas learn that the new disk votes.
+            state.heartbeat_due = Timestamp::default();
         }
     }
 
-    pub(super) fn commit_is_of_this_term(&self) -> bool {
+    pub(super) fn has_committed_in_term(&self) -> bool {
         self.log.term_at(self.commit) == Some(self.hard.term)
     }
 
-    fn finish_reads(&mut self) {
-        if !self.commit_is_of_this_term() {
+    fn confirm_reads(&mut self) {
+        if !self.has_committed_in_term() {
             return;
         }
         let (index, quorum, own) = (self.commit, self.quorum(), usize::from(self.is_voter()));
-        let Role::Leader(leading) = &self.role else { return };
-        let counted = leading.progress.iter().filter(|(id, p)| self.counts(**id, p));
-        let mut rounds: Vec<u64> = counted.map(|(_, p)| p.acked_round).collect();
+        let Role::Leader(state) = &self.role else { return };
+        let voting = state.progress.iter().filter(|(id, p)| self.is_voting(**id, p));
+        let mut rounds: Vec<u64> = voting.map(|(_, p)| p.acked_round).collect();
         if own == 1 {
-            rounds.push(leading.round);
+            rounds.push(state.round);
         }
         rounds.sort_unstable_by(|a, b| b.cmp(a));
         let Some(&confirmed) = rounds.get(quorum - 1) else { return };
-        let Role::Leader(leading) = &mut self.role else { return };
-        let done = leading.reads.partition_point(|r| r.round <= confirmed);
-        let ready = leading.reads.drain(..done).map(|r| ReadyRead { ticket: r.ticket, index });
+        let Role::Leader(state) = &mut self.role else { return };
+        let done = state.reads.partition_point(|r| r.round <= confirmed);
+        let ready = state.reads.drain(..done).map(|r| ReadyRead { ticket: r.ticket, index });
         self.ready.reads.extend(ready);
     }
 }
--- a/crates/cherrystream-core/src/raft/log.rs
+++ b/crates/cherrystream-core/src/raft/log.rs
@@ -9,7 +9,7 @@
 pub struct Log {
     base: Position,
     entries: VecDeque<Entry>,
-    /// Index of the first entry that was not handed out to be made durable.
+    /// Index of the first entry that was not yet returned for saving.
     unsaved_from: u64,
     /// Index of the last durable entry.
     saved: u64,
@@ -22,7 +22,7 @@
         Log { base, entries: entries.into(), unsaved_from: last + 1, saved: last }
     }
 
-    /// Returns the position that the log begins after.
+    /// Returns the position before the first entry.
     pub fn base(&self) -> Position {
         self.base
     }
@@ -46,7 +46,7 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Returns the term of the entry at an index, also at the base.
+    /// Returns the term of the entry at an index, or of the base.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -59,13 +59,13 @@
         (first..=last).map_while(|index| self.get(index).cloned()).collect()
     }
 
-    /// Adds an entry at the end.
+    /// Appends an entry.
     pub fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last().index + 1);
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries from an index on.
+    /// Removes the entries from an index on.
     pub fn truncate(&mut self, from: u64) {
         let keep = from.saturating_sub(self.base.index + 1);
         self.entries.truncate(usize::try_from(keep).unwrap_or(usize::MAX));
@@ -73,12 +73,12 @@
         self.saved = self.saved.min(from - 1);
     }
 
-    /// Replaces everything by a snapshot's position.
+    /// Replaces the whole log by the position of a snapshot.
     pub fn reset(&mut self, base: Position) {
         *self = Log::new(base, Vec::new());
     }
 
-    /// Drops the entries up to an index.
+    /// Removes the entries up to an index.
     pub fn compact(&mut self, index: u64) {
         let Some(term) = self.term_at(index) else { return };
         let count = usize::try_from(index - self.base.index).unwrap_or(0);
@@ -86,7 +86,8 @@
         self.base = Position { term, index };
     }
 
-    /// Returns the first index of the run of one term that ends at `index`.
+    /// Returns the index of the first entry of the term that the entry at `index` belongs to, as
+    /// far as it is in the log.
     pub fn first_of_term(&self, index: u64) -> u64 {
         let term = self.term_at(index);
         let mut first = index;
--- a/crates/cherrystream-core/src/raft/mod.rs
+++ b/crates/cherrystream-core/src/raft/mod.rs
@@ -1,9 +1,9 @@
-//! The replicated log of the control replicas: Raft with pre-vote, quorum check, leadership
-//! transfer, snapshots and identified disks.
+//! Replicated log of the control replicas: Raft with pre-vote, quorum check, leadership transfer,
+//! snapshots and disk identifiers.
 //!
-//! Each data folder has a random disk identifier. A replica votes, and its acknowledgements
-//! count, only when an entry of the log names its disk (see `disks`); so a host that was repaired
-//! with a blank disk can never help to elect a leader that lacks an accepted change.
+//! Each data folder has a random disk identifier. A replica votes, and its acknowledgements count,
+//! only if an entry of the log names its disk (see `disks`). A host that was repaired with a blank
+//! disk therefore never helps to elect a leader that lacks a committed entry.
 
 pub mod asking;
 mod bootstrap;
@@ -28,45 +28,45 @@
 
 use crate::units::Timestamp;
 use cherrystream_schema::messages;
-use leader::Leading;
+use leader::LeaderState;
 use messages::{Command, HardState, Members, RaftBody, RaftMessage};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use std::collections::BTreeSet;
 
-/// Life cycle of a replica within a term.
+/// Role of a replica within a term.
 #[derive(Debug)]
 enum Role {
     Follower { leader: Option<u64> },
     Candidate { pre: bool, votes: BTreeSet<u64> },
-    Leader(Leading),
+    Leader(LeaderState),
 }
 
-/// One replica.
+/// One replica of the group.
 #[derive(Debug)]
 pub struct Raft {
     opts: Options,
     rng: SmallRng,
     hard: HardState,
     log: Log,
-    /// Committed membership; `None` until the group is founded.
+    /// Committed membership; `None` until the group is bootstrapped.
     members: Option<Members>,
     /// Disk replacements in the log that are not known to be committed.
     pending_disks: Vec<disks::PendingDisk>,
     commit: u64,
-    /// Highest commit index that a leader told of; the log here may not reach that far.
-    told_commit: u64,
-    handed_out: u64,
+    /// Highest commit index received from a leader; the log here may not reach that far.
+    known_commit: u64,
+    delivered: u64,
     role: Role,
     election_due: Timestamp,
-    heard_leader: Option<Timestamp>,
-    founding: bootstrap::Founding,
+    leader_last_seen: Option<Timestamp>,
+    bootstrap: bootstrap::Bootstrap,
     hard_dirty: bool,
     ready: Ready,
 }
 
 impl Raft {
-    /// Creates a replica from what its disk holds.
+    /// Creates a replica from the state restored from its disk.
     pub fn new(opts: Options, restored: Restored, now: Timestamp) -> Raft {
         let rng = SmallRng::seed_from_u64(opts.seed);
         let (base, members) = match &restored.snapshot {
@@ -75,43 +75,43 @@
         };
         let mut raft = Raft {
             rng,
-            hard: hard_of(&restored),
+            hard: initial_hard_state(&restored),
             log: Log::new(base, restored.entries),
             members,
             pending_disks: Vec::new(),
             commit: base.index,
-            told_commit: base.index,
-            handed_out: base.index,
+            known_commit: base.index,
+            delivered: base.index,
             role: Role::Follower { leader: None },
             election_due: now,
-            heard_leader: None,
-            founding: bootstrap::Founding::default(),
+            leader_last_seen: None,
+            bootstrap: bootstrap::Bootstrap::default(),
             hard_dirty: false,
             ready: Ready::default(),
             opts,
         };
-        raft.adopt_founding_entry();
+        raft.commit_bootstrap_entry();
         raft.advance_commit(raft.hard.commit.min(raft.log.last().index));
-        raft.find_pending_disks();
-        // A replica without others has nobody to wait for.
+        raft.restore_pending_disks();
+        // A single replica elects itself at once.
         if raft.opts.replicas.len() > 1 {
-            raft.reset_first_election(now);
+            raft.reset_first_election_timer(now);
         }
         raft
     }
 
-    /// The founding entry is committed from the start: every founder has it.
-    fn adopt_founding_entry(&mut self) {
-        let founding = self.log.get(1).map(|e| &e.command);
-        if self.commit == 0 && matches!(founding, Some(Command::Found { .. })) {
+    /// Commits the bootstrap entry, which every replica that took part in the bootstrap holds.
+    fn commit_bootstrap_entry(&mut self) {
+        let first = self.log.get(1).map(|e| &e.command);
+        if self.commit == 0 && matches!(first, Some(Command::Found { .. })) {
             self.advance_commit(1);
         }
     }
 
-    /// Lets time pass.
+    /// Advances the timers of the replica to `now`.
     pub fn tick(&mut self, now: Timestamp) {
         if self.is_blank() {
-            self.tick_founding(now);
+            self.tick_bootstrap(now);
         } else if matches!(self.role, Role::Leader(_)) {
             self.tick_leader(now);
         } else if now >= self.election_due && self.is_voter() {
@@ -119,23 +119,23 @@
         }
     }
 
-    /// Takes a message from another replica.
+    /// Handles a message from another replica.
     pub fn step(&mut self, now: Timestamp, msg: RaftMessage) {
         if msg.to != self.opts.id || !self.opts.replicas.contains(&msg.from) {
             return;
         }
-        self.learn_commit(&msg);
-        if self.step_founding(now, &msg) || self.step_pre_vote(now, &msg) {
+        self.update_commit_from(&msg);
+        if self.step_bootstrap(now, &msg) || self.step_pre_vote(now, &msg) {
             return;
         }
         if msg.term > self.hard.term {
-            if self.would_disturb(now, &msg) {
+            if self.is_disruptive(now, &msg) {
                 return;
             }
             self.become_follower(now, msg.term, None);
         }
         if msg.term < self.hard.term {
-            self.refuse_stale(&msg);
+            self.reject_stale(&msg);
             return;
         }
         self.step_current(now, msg);
@@ -167,27 +167,27 @@
         }
     }
 
-    /// Returns what must be done now, and takes it off the list.
+    /// Returns the actions that are due, and clears them.
     pub fn take_ready(&mut self) -> Ready {
         let mut ready = std::mem::take(&mut self.ready);
         if std::mem::take(&mut self.hard_dirty) {
             ready.hard = Some(self.hard.clone());
         }
         ready.entries = self.log.take_unsaved();
-        ready.committed = self.log.range(self.handed_out + 1, self.commit);
-        self.handed_out = self.commit;
+        ready.committed = self.log.range(self.delivered + 1, self.commit);
+        self.delivered = self.commit;
         ready
     }
 
-    /// Notes that everything handed out by [`Raft::take_ready`] is durable.
+    /// Records that everything returned by [`Raft::take_ready`] is durable.
     pub fn saved(&mut self, now: Timestamp) {
         self.log.mark_saved();
         self.leader_saved(now);
     }
 
-    /// Drops entries that a durable snapshot covers.
+    /// Removes entries that a durable snapshot covers.
     pub fn compact(&mut self, index: u64) {
-        if index <= self.handed_out {
+        if index <= self.delivered {
             self.log.compact(index);
         }
     }
@@ -197,7 +197,7 @@
         self.opts.id
     }
 
-    /// Returns the leader, if known.
+    /// Returns the number of the leader, if known.
     pub fn leader(&self) -> Option<u64> {
         match &self.role {
             Role::Leader(_) => Some(self.opts.id),
@@ -206,12 +206,12 @@
         }
     }
 
-    /// Returns whether this replica leads.
+    /// Returns whether this replica is the leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Returns the present term.
+    /// Returns the current term.
     pub fn term(&self) -> u64 {
         self.hard.term
     }
@@ -221,9 +221,9 @@
         self.commit
     }
 
-    /// Returns the highest commit index that is known, though the log here may not reach that far.
+    /// Returns the highest known commit index; the log here may not reach that far.
     pub fn told_commit(&self) -> u64 {
-        self.told_commit.max(self.commit)
+        self.known_commit.max(self.commit)
     }
 
     /// Returns the log.
@@ -241,7 +241,7 @@
         self.is_member(self.opts.id, &self.opts.disk)
     }
 
-    /// Returns whether this replica's disk holds nothing.
+    /// Returns whether this replica has neither entries nor a snapshot.
     pub fn is_blank(&self) -> bool {
         self.log.last().index == 0
     }
@@ -264,12 +264,12 @@
         }
     }
 
-    fn send_after(&mut self, to: u64, body: RaftBody) {
+    fn send_after_save(&mut self, to: u64, body: RaftBody) {
         let msg = self.message(to, body);
         self.ready.after.push(msg);
     }
 
-    fn send_before(&mut self, to: u64, body: RaftBody) {
+    fn send_now(&mut self, to: u64, body: RaftBody) {
         let msg = self.message(to, body);
         self.ready.before.push(msg);
     }
@@ -289,7 +289,7 @@
                             members.failure_domains.insert(replica, failure_domain);
                         }
                     }
-                    // After a restart, this replica must know which disks count.
+                    // Saves the commit index, so that the voting disks are known after a restart.
                     self.hard.commit = self.hard.commit.max(entry.index);
                     self.hard_dirty = true;
                 }
@@ -301,9 +301,9 @@
     }
 }
 
-/// Returns the hard state to begin with. A write that was torn may have left entries of a later
-/// term without the hard state; no message of that term was sent.
-fn hard_of(restored: &Restored) -> HardState {
+/// Returns the initial hard state. A torn write may have left entries of a later term without the
+/// hard state; no message of that term was sent.
+fn initial_hard_state(restored: &Restored) -> HardState {
     let hard = restored.hard.clone().unwrap_or(HardState { term: 0, voted_for: None, commit: 0 });
     let last = restored.entries.last().map_or(0, |e| e.term);
     if last > hard.term {
--- a/crates/cherrystream-core/src/raft/options.rs
+++ b/crates/cherrystream-core/src/raft/options.rs
@@ -1,32 +1,33 @@
-//! Settings of a replica of the log.
+//! Configuration of a replica.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Settings of a replica.
+/// Configuration of a replica.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Number of this replica.
     pub id: u64,
     /// Identifier of its disk.
     pub disk: String,
-    /// Numbers of all replicas, this one included.
+    /// Numbers of all replicas, including this one.
     pub replicas: Vec<u64>,
-    /// Addresses of the replicas; empty where they are fixed and so need not stand in the log.
+    /// Initial addresses of the replicas; empty where they are fixed and not recorded in the log.
     pub addresses: BTreeMap<u64, String>,
-    /// Failure domain of this host; empty where places do not go by it.
+    /// Failure domain of this host; empty where it does not affect the placement.
     pub failure_domain: String,
-    /// Whether this replica may found a new group when all disks are blank.
+    /// Whether this replica may bootstrap a new group when all disks are blank.
     pub may_found: bool,
     /// Time between heartbeats.
     pub heartbeat: Duration,
-    /// Shortest time without a leader before an election; the longest is twice that.
+    /// Minimum time without a leader before an election; the maximum is twice as long.
     pub election: Duration,
-    /// As `election`, for the first election after a start: nobody is disturbed by an early one.
+    /// As `election`, for the first election after a start. May be shorter, because no leader is
+    /// disturbed.
     pub first_election: Duration,
-    /// Seed of the random election times.
+    /// Seed of the random election timeouts.
     pub seed: u64,
-    /// When this process started, Unix time in milliseconds.
+    /// Start of this process, Unix time in milliseconds.
     pub started_ms: u64,
 }
 
--- a/crates/cherrystream-core/src/raft/placement.rs
+++ b/crates/cherrystream-core/src/raft/placement.rs
@@ -1,8 +1,8 @@
-//! Spreads the places of the group over failure domains.
+//! Distribution of the member slots over failure domains.
 //!
-//! The loss of a failure domain must take as few votes as possible, and the daemons of one without a replica get
-//! every change from afar. So a place goes to a replica of the failure domain that holds the fewest. Five places were
-//! seen to lie in four of five failure domains where whoever asked first got the next one.
+//! The loss of a failure domain should cost as few votes as possible, and daemons in a failure
+//! domain without a replica receive every change from a remote one. A slot therefore goes to a
+//! replica of the failure domain that holds the fewest.
 
 use super::joining::Newcomer;
 use super::{Raft, Role};
@@ -10,80 +10,85 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time for which a replica that stands by in a failure domain which holds a place leaves the next one to those of other
-/// failure domains. Hosts that start together do so within 0.3 s and ask four times a second.
-const PATIENCE: Duration = Duration::from_millis(1_000);
-/// Silence after which a replica no longer counts as asking: three questions of one that has asked for long.
-const SILENCE: Duration = Duration::from_millis(3_000);
+/// Time for which a standby replica in a failure domain that already holds a slot leaves the next
+/// one to other failure domains. Covers several request intervals of hosts that start together.
+const DOMAIN_PREFERENCE_DELAY: Duration = Duration::from_millis(1_000);
+/// Silence after which a replica no longer counts as asking. Covers several request intervals.
+const REQUEST_EXPIRY: Duration = Duration::from_millis(3_000);
 
-/// A replica without a place.
+/// A replica that asks for a member slot.
 #[derive(Debug)]
-struct Asker {
+struct PendingJoin {
     failure_domain: String,
-    first: Timestamp,
-    last: Timestamp,
+    first_request: Timestamp,
+    last_request: Timestamp,
 }
 
-/// Replicas without a place that asked for one, by their disks.
+/// Replicas that ask for a member slot, by their disks.
 #[derive(Debug, Default)]
-pub(super) struct Askers {
-    by_disk: BTreeMap<String, Asker>,
+pub(super) struct PendingJoins {
+    by_disk: BTreeMap<String, PendingJoin>,
 }
 
-impl Askers {
-    fn hear(&mut self, now: Timestamp, newcomer: Newcomer<'_>) {
-        self.by_disk.retain(|_, asker| now.since(asker.last) < SILENCE);
-        let fresh =
-            || Asker { failure_domain: newcomer.failure_domain.into(), first: now, last: now };
-        let asker = self.by_disk.entry(newcomer.disk.into()).or_insert_with(fresh);
-        asker.last = now;
+impl PendingJoins {
+    fn record(&mut self, now: Timestamp, newcomer: Newcomer<'_>) {
+        self.by_disk.retain(|_, join| now.since(join.last_request) < REQUEST_EXPIRY);
+        let fresh = || PendingJoin {
+            failure_domain: newcomer.failure_domain.into(),
+            first_request: now,
+            last_request: now,
+        };
+        let join = self.by_disk.entry(newcomer.disk.into()).or_insert_with(fresh);
+        join.last_request = now;
     }
 
-    /// Returns for how long a replica has been asking.
+    /// Returns the time since the first request of a replica.
     fn waited(&self, now: Timestamp, disk: &str) -> Duration {
-        self.by_disk.get(disk).map_or(Duration::ZERO, |asker| now.since(asker.first))
+        self.by_disk.get(disk).map_or(Duration::ZERO, |join| now.since(join.first_request))
     }
 
-    /// Returns the failure domains of the others that ask.
+    /// Returns the failure domains of the other replicas that ask.
     fn other_domains(&self, now: Timestamp, disk: &str) -> impl Iterator<Item = &str> {
-        let others = self.by_disk.iter().filter(move |(other, asker)| {
-            other.as_str() != disk && now.since(asker.last) < SILENCE
+        let others = self.by_disk.iter().filter(move |(other, join)| {
+            other.as_str() != disk && now.since(join.last_request) < REQUEST_EXPIRY
         });
-        others.map(|(_, asker)| asker.failure_domain.as_str())
+        others.map(|(_, join)| join.failure_domain.as_str())
     }
 }
 
 impl Raft {
-    /// Notes that a replica without a place asks for one.
-    pub(super) fn note_asker(&mut self, now: Timestamp, newcomer: Newcomer<'_>) {
+    /// Records the request of a replica without a member slot.
+    pub(super) fn record_pending_join(&mut self, now: Timestamp, newcomer: Newcomer<'_>) {
         if newcomer.runs_as.is_none()
-            && let Role::Leader(leading) = &mut self.role
+            && let Role::Leader(state) = &mut self.role
         {
-            leading.askers.hear(now, newcomer);
+            state.pending_joins.record(now, newcomer);
         }
     }
 
-    /// Returns whether a place may go to a newcomer now: no failure domain that asks holds fewer, and others had time
-    /// to ask. One that comes in the place of another waits for nobody, for its group lacks a replica until then, and those
-    /// that stand by are kept from that place for longer.
-    pub(super) fn suits(&self, now: Timestamp, place: u64, newcomer: Newcomer<'_>) -> bool {
-        let Role::Leader(leading) = &self.role else { return false };
-        let held = self.places_by_domain(now, place);
+    /// Returns whether a slot may go to a joining replica now: no failure domain that asks holds
+    /// fewer slots, and others had time to ask. A replica that replaces a lost one does not wait,
+    /// because the group lacks a replica until then, and standby replicas wait longer for that slot
+    /// anyway.
+    pub(super) fn is_suitable(&self, now: Timestamp, slot: u64, newcomer: Newcomer<'_>) -> bool {
+        let Role::Leader(state) = &self.role else { return false };
+        let held = self.slots_by_domain(now, slot);
         let count = |domain: &str| held.get(domain).copied().unwrap_or(0);
         let own = count(newcomer.failure_domain);
         if own == 0 || newcomer.failure_domain.is_empty() || !newcomer.stands_by {
             return true;
         }
-        let waited = leading.askers.waited(now, newcomer.disk) >= PATIENCE;
-        let mut others = leading.askers.other_domains(now, newcomer.disk);
+        let waited = state.pending_joins.waited(now, newcomer.disk) >= DOMAIN_PREFERENCE_DELAY;
+        let mut others = state.pending_joins.other_domains(now, newcomer.disk);
         waited && !others.any(|domain| count(domain) < own)
     }
 
-    /// Counts the places of each failure domain that are filled or promised, but for one.
-    fn places_by_domain(&self, now: Timestamp, without: u64) -> BTreeMap<&str, usize> {
+    /// Counts the slots of each failure domain that are filled or have a learner, except one slot.
+    fn slots_by_domain(&self, now: Timestamp, without: u64) -> BTreeMap<&str, usize> {
         let mut held = BTreeMap::new();
-        let taken = |id: &u64| *id != without && (!self.is_vacant(*id) || self.is_taken(now, *id));
-        for id in self.opts.replicas.iter().copied().filter(taken) {
+        let is_filled =
+            |id: &u64| *id != without && (!self.is_vacant(*id) || self.has_learner(now, *id));
+        for id in self.opts.replicas.iter().copied().filter(is_filled) {
             if let Some(domain) = self.failure_domain_of(now, id) {
                 *held.entry(domain).or_default() += 1;
             }
--- a/crates/cherrystream-core/src/raft/ready.rs
+++ b/crates/cherrystream-core/src/raft/ready.rs
@@ -1,8 +1,8 @@
-//! What a replica is given at its start, and what it asks its caller to do.
+//! State restored at the start of a replica, and the actions that it requests of its caller.
 
 use cherrystream_schema::messages::{Entry, HardState, RaftMessage, Snapshot};
 
-/// What a replica finds on its disk.
+/// State restored from the disk of a replica.
 #[derive(Clone, Debug, Default)]
 pub struct Restored {
     /// Latest hard state.
@@ -13,24 +13,24 @@
     pub entries: Vec<Entry>,
 }
 
-/// What the caller must do, in the order of the fields.
+/// Actions that the caller must perform, in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ready {
-    /// Messages that promise nothing about this replica's disk.
+    /// Messages that may be sent before anything is durable.
     pub before: Vec<RaftMessage>,
-    /// Snapshot from the leader, to make durable in place of the whole log.
+    /// Snapshot from the leader that replaces the whole log; to be made durable.
     pub installed: Option<Snapshot>,
     /// Entries to make durable; the first may overwrite the tail of the log.
     pub entries: Vec<Entry>,
-    /// Hard state to make durable; it speaks of the entries before it.
+    /// Hard state to make durable, after the entries above.
     pub hard: Option<HardState>,
-    /// Messages to send once the above is durable.
+    /// Messages to send once all of the above is durable.
     pub after: Vec<RaftMessage>,
     /// Entries to apply.
     pub committed: Vec<Entry>,
-    /// Reads that may be served once the index beside them is applied.
+    /// Reads that may be served once their index is applied.
     pub reads: Vec<ReadyRead>,
-    /// Replicas that need a snapshot of the present state.
+    /// Replicas that need a snapshot of the current state.
     pub need_snapshot: Vec<u64>,
 }
 
@@ -41,27 +41,27 @@
     }
 }
 
-/// A read that a quorum has confirmed.
+/// A linearizable read that a quorum has confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadyRead {
-    /// Number given to [`super::Raft::read`].
+    /// Identifier passed to [`super::Raft::read`].
     pub ticket: u64,
-    /// Index that must be applied first.
+    /// Index that must be applied before the read is served.
     pub index: u64,
 }
 
-/// Returned when a proposal or read reaches a replica that cannot take it.
+/// Error of a proposal or read on a replica that cannot accept it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotLeader {
     /// The leader, if known.
     pub leader: Option<u64>,
 }
 
-/// Position of a proposal in the log.
+/// Position of an entry in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
-    /// Term in which it was proposed.
+    /// Term of the entry.
     pub term: u64,
-    /// Index it was given.
+    /// Index of the entry.
     pub index: u64,
 }
