--- a/crates/cherrystream-core/tests/raft_founding/mod.rs
+++ b/crates/cherrystream-core/tests/raft_bootstrap/mod.rs
@@ -1,7 +1,7 @@
 //! Founding and joining as processes do it: seeds start in any order and pace, others stand by, and
 //! questions for a place are late, doubled, lost and passed on. `RAFT_SEEDS=N` runs N schedules.
 
-use super::raft_world::{World, address, failure_domain};
+use super::raft_cluster::{World, address, failure_domain};
 use arbtest::arbitrary::{Result as ArbResult, Unstructured};
 use cherrystream_core::raft::asking::{self, Asking, PlaceView};
 use cherrystream_core::raft::{Admission, Newcomer, Raft};
--- a/crates/cherrystream-core/tests/raft_world/mod.rs
+++ b/crates/cherrystream-core/tests/raft_cluster/mod.rs
@@ -1,8 +1,8 @@
 //! Replicas with their disks, and a bag of messages; the safety conditions are looked at by
 //! [`World::check`].
 
-mod checks;
-mod places;
+mod invariants;
+mod membership;
 
 use cherrystream_core::raft::{Options, Raft, Restored};
 use cherrystream_core::units::Timestamp;
--- a/crates/cherrystream-core/tests/raft_joining/mod.rs
+++ b/crates/cherrystream-core/tests/raft_joining/mod.rs
@@ -1,6 +1,6 @@
 //! Replaced hosts: a newcomer on another address takes the number of a replica that is gone.
 
-use super::raft_world::{Disk, World, address, failure_domain};
+use super::raft_cluster::{Disk, World, address, failure_domain};
 use cherrystream_core::raft::{Admission, Newcomer, Raft};
 use cherrystream_schema::messages::{Command, RaftBody};
 
--- a/crates/cherrystream-core/tests/raft_random.rs
+++ b/crates/cherrystream-core/tests/raft_random.rs
@@ -3,12 +3,12 @@
 //! The safety conditions are looked at after each step: one leader a term, logs that match, no
 //! committed entry lost, no voter without its past. `RAFT_SEEDS=N` runs N schedules.
 
-mod raft_founding;
+mod raft_bootstrap;
+mod raft_cluster;
 mod raft_joining;
-mod raft_world;
 
 use arbtest::arbitrary::{Result as ArbResult, Unstructured};
-use raft_world::{Replica, World};
+use raft_cluster::{Replica, World};
 
 /// Schedules in CI.
 const SEEDS: u32 = 120;
