--- a/crates/cherrystream-core/tests/asking.rs
+++ b/crates/cherrystream-core/tests/asking.rs
@@ -1,4 +1,4 @@
-//! When a running replica asks for its place, and when it may give its log up.
+//! Guards the schedule of join requests, and the condition for discarding data.
 
 use cherrystream_core::raft::asking::{self, Asking, PlaceView, QuorumWord};
 use cherrystream_core::units::Timestamp;
@@ -8,17 +8,17 @@
     QuorumWord::Heard { age: Duration::from_millis(millis) }
 }
 
-/// Milliseconds at which a replica asks whose view stays the same.
+/// Returns the milliseconds at which a replica with a constant view sends join requests.
 fn asks(view: PlaceView, until: u64) -> Vec<u64> {
     let mut asking = Asking::new(Timestamp::default());
     let due = |ms: &u64| asking.is_due(Timestamp::from_millis(*ms), view);
     (0..until).step_by(100).filter(due).collect()
 }
 
-/// A voter that has not heard a quorum yet is not one that was left alone for ever: its first election
-/// may still be under way.
+/// A voter without quorum contact since its start must not ask at once: its first election may
+/// still be running.
 #[test]
-fn a_voter_asks_only_after_a_long_silence_of_its_own() {
+fn a_voter_asks_only_after_a_long_time_without_quorum_contact() {
     let view = |word| PlaceView { leads: false, votes: true, word };
     assert_eq!(asks(view(QuorumWord::NotYet), 5_000), [3_000]);
     assert_eq!(asks(view(heard(100)), 5_000), [0_u64; 0]);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn one_whose_disk_does_not_count_asks_often_and_a_leader_never() {
+fn a_replica_without_voting_disk_asks_often_and_a_leader_never() {
     let view = |leads, votes| PlaceView { leads, votes, word: QuorumWord::NotYet };
     assert_eq!(asks(view(false, false), 1_300), [400, 800, 1_200]);
     assert_eq!(asks(view(true, true), 10_000), [0_u64; 0]);
@@ -34,11 +34,11 @@
 }
 
 #[test]
-fn who_takes_part_in_a_quorum_gives_nothing_up() {
+fn a_member_of_a_working_quorum_keeps_its_data() {
     let may = |leads, votes, word| asking::may_give_up(PlaceView { leads, votes, word });
     assert!(!may(true, true, heard(0)));
     assert!(!may(true, false, QuorumWord::NotYet));
     assert!(!may(false, true, heard(500)));
-    assert!(may(false, true, heard(4_000)), "it was away, and another holds its place");
-    assert!(may(false, false, heard(0)), "it hears the quorum that gave its place away");
+    assert!(may(false, true, heard(4_000)), "another replica may hold its slot");
+    assert!(may(false, false, heard(0)), "the quorum it is in contact with gave its slot away");
 }
--- a/crates/cherrystream-core/tests/raft_cluster/invariants.rs
+++ b/crates/cherrystream-core/tests/raft_cluster/invariants.rs
@@ -1,12 +1,12 @@
-//! The safety conditions.
+//! Safety invariants of the group.
 
-use super::{Committed, World, name};
+use super::{Cluster, Committed, name};
 use cherrystream_core::raft::Raft;
 use cherrystream_schema::messages::{Command, Entry, Members};
 use std::collections::BTreeMap;
 
-impl World {
-    /// Looks at all of them.
+impl Cluster {
+    /// Checks all invariants.
     pub fn check(&mut self) {
         for replica in &self.replicas {
             let Some(raft) = &replica.raft else { continue };
@@ -18,15 +18,18 @@
                     check_complete(raft, &self.committed);
                 }
             }
-            // A voter has its past: its own log, or the snapshot before it, names its disk.
+            // The log of a voter, or the snapshot before it, names its disk.
             if raft.is_voter() {
-                assert!(is_named(raft, &replica.disk.id), "a voter without its past");
+                assert!(
+                    is_named(raft, &replica.disk.id),
+                    "a voter whose log does not name its disk"
+                );
             }
         }
         self.check_matching();
     }
 
-    /// If two logs hold an entry with the same index and term, they agree up to it.
+    /// Checks that two logs with an entry of the same index and term agree up to it.
     pub fn check_matching(&self) {
         let running: Vec<&Raft> = self.replicas.iter().filter_map(|r| r.raft.as_ref()).collect();
         let pairs = (0..running.len()).flat_map(|a| (0..a).map(move |b| (a, b)));
@@ -54,12 +57,14 @@
     raft.members().is_some_and(named) || entries.iter().any(names)
 }
 
-/// A leader lacks no entry that was committed in its term or an earlier one.
+/// Checks that a leader lacks no entry that was committed in its term or an earlier one.
 fn check_complete(raft: &Raft, committed: &BTreeMap<u64, Committed>) {
     for (index, entry) in committed.iter().filter(|(_, c)| c.term <= raft.term()) {
         match raft.log().get(*index) {
-            Some(found) => assert_eq!(name(found), entry.name, "the leader lacks entry {index}"),
-            None => assert!(*index <= raft.log().base().index, "the leader lost entry {index}"),
+            Some(held) => {
+                assert_eq!(name(held), entry.name, "the entry {index} of the leader differs")
+            }
+            None => assert!(*index <= raft.log().base().index, "the leader lacks entry {index}"),
         }
     }
 }
--- a/crates/cherrystream-core/tests/raft_cluster/membership.rs
+++ b/crates/cherrystream-core/tests/raft_cluster/membership.rs
@@ -1,36 +1,36 @@
-//! Places: who asks for one, and hosts that lose their disks or are replaced.
+//! Member slots: join requests, and hosts that lose their disks or are replaced.
 
-use super::{Replica, World, address, failure_domain};
+use super::{Cluster, Replica, address, failure_domain};
 use cherrystream_core::raft::{Admission, Newcomer, Raft};
 
-impl World {
-    /// Those whose disks do not count ask the leaders for their places; one that lost its place asks
-    /// for another one, with a blank disk.
-    pub fn ask_for_places(&mut self) {
-        if self.founders == self.places {
+impl Cluster {
+    /// Sends the join requests of replicas whose disks do not vote. A replica that lost its slot
+    /// asks for another one with a blank disk.
+    pub fn request_slots(&mut self) {
+        if self.bootstrap_replicas == self.slots {
             return;
         }
         let does_not_vote = |r: &Replica| r.raft.as_ref().is_some_and(|raft| !raft.is_voter());
         for i in 0..self.replicas.len() {
             if does_not_vote(&self.replicas[i])
-                && self.ask(i, Some(self.replicas[i].number)) == Admission::Lost
+                && self.request_slot(i, Some(self.replicas[i].number)) == Admission::Lost
             {
                 self.replicas[i].raft = None;
-                self.replicas[i].placeless = true;
+                self.replicas[i].without_slot = true;
                 self.replicas[i].disk = self.new_disk();
             }
-            if self.replicas[i].placeless
-                && let Admission::Granted(number) = self.ask(i, None)
+            if self.replicas[i].without_slot
+                && let Admission::Granted(number) = self.request_slot(i, None)
             {
-                self.replicas[i].placeless = false;
+                self.replicas[i].without_slot = false;
                 self.replicas[i].number = number;
                 self.start(i);
             }
         }
     }
 
-    /// Asks one leader after the other for a place, and returns the first word that is not "not now".
-    fn ask(&mut self, i: usize, runs_as: Option<u64>) -> Admission {
+    /// Asks each leader for a slot, and returns the first answer other than `NotNow`.
+    fn request_slot(&mut self, i: usize, runs_as: Option<u64>) -> Admission {
         let now = self.now;
         let disk = self.replicas[i].disk.id.clone();
         let address = address(i);
@@ -42,13 +42,13 @@
             runs_as,
         };
         let rafts = self.replicas.iter_mut().filter_map(|r| r.raft.as_mut());
-        let mut answers = rafts.map(|raft| raft.admit(now, newcomer));
-        answers.find(|answer| *answer != Admission::NotNow).unwrap_or(Admission::NotNow)
+        let mut replies = rafts.map(|raft| raft.admit(now, newcomer));
+        replies.find(|reply| *reply != Admission::NotNow).unwrap_or(Admission::NotNow)
     }
 
-    /// A host is lost, and another one comes in its place on a blank disk.
-    pub fn replace(&mut self, i: usize) {
-        if self.replicas[i].replaced || !self.bears_a_lost_disk() {
+    /// Replaces a lost host by another one with a blank disk.
+    pub fn replace_host(&mut self, i: usize) {
+        if self.replicas[i].replaced || !self.tolerates_lost_disk() {
             return;
         }
         self.replicas[i].replaced = true;
@@ -57,18 +57,18 @@
         self.start(self.replicas.len() - 1);
     }
 
-    /// A host is repaired with a blank disk, right after the last repair was committed.
-    pub fn blank(&mut self, i: usize) {
-        if self.replicas[i].replaced || !self.bears_a_lost_disk() {
+    /// Restarts a host with a blank disk.
+    pub fn wipe_disk(&mut self, i: usize) {
+        if self.replicas[i].replaced || !self.tolerates_lost_disk() {
             return;
         }
-        self.blanked += 1;
+        self.wiped_disks += 1;
         self.replicas[i].disk = self.new_disk();
         self.start(i);
     }
 
-    fn bears_a_lost_disk(&self) -> bool {
-        // A majority of the places must have kept its disk: that is what the group bears.
+    fn tolerates_lost_disk(&self) -> bool {
+        // The group tolerates losses as long as a majority of the slots keeps its disks.
         let kept = |raft: &Raft| {
             let disks = raft.members().map(|m| m.disks.clone()).unwrap_or_default();
             let counts =
@@ -77,12 +77,13 @@
         };
         let running = self.replicas.iter().filter_map(|r| r.raft.as_ref());
         let most = running.map(kept).max().unwrap_or(0);
-        if self.places == 3 {
-            return most == self.places;
+        if self.slots == 3 {
+            return most == self.slots;
         }
-        // Before a majority knows of the founding, nothing was accepted and nothing is borne.
-        let founded = |r: &&Replica| r.raft.as_ref().is_some_and(|raft| raft.members().is_some());
-        let founded = self.replicas.iter().filter(founded).count();
-        founded > self.places / 2 && most >= self.places / 2 + 2
+        // Nothing is accepted, and no loss tolerated, before a majority holds the bootstrap entry.
+        let bootstrapped =
+            |r: &&Replica| r.raft.as_ref().is_some_and(|raft| raft.members().is_some());
+        let bootstrapped = self.replicas.iter().filter(bootstrapped).count();
+        bootstrapped > self.slots / 2 && most >= self.slots / 2 + 2
     }
 }
--- a/crates/cherrystream-core/tests/raft_cluster/mod.rs
+++ b/crates/cherrystream-core/tests/raft_cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Replicas with their disks, and a bag of messages; the safety conditions are looked at by
-//! [`World::check`].
+//! Simulated replicas with their disks and the messages between them; [`Cluster::check`] checks the
+//! safety invariants.
 
 mod invariants;
 mod membership;
@@ -14,10 +14,10 @@
 use rand::seq::IndexedRandom;
 use std::collections::BTreeMap;
 
-/// Entries of the shortest log that is compacted.
-const LONG: u64 = 4;
+/// The log is compacted only beyond this index.
+const MIN_COMPACTED_INDEX: u64 = 4;
 
-/// What a disk keeps.
+/// Durable state of a replica.
 #[derive(Clone, Default)]
 pub struct Disk {
     pub id: String,
@@ -36,15 +36,15 @@
 }
 
 pub struct Replica {
-    /// Number that it runs under. A host that was replaced may come back beside its successor.
+    /// Number that it runs under. A replaced host may come back beside its successor.
     pub number: u64,
-    /// Whether another host came in its place.
+    /// Whether another host replaced it.
     pub replaced: bool,
-    /// Whether it has no place, and so does not run.
-    pub placeless: bool,
+    /// Whether it has no member slot and therefore does not run.
+    pub without_slot: bool,
     pub raft: Option<Raft>,
     pub disk: Disk,
-    /// Entries applied, as their proposals' numbers by index.
+    /// Applied entries by index.
     pub applied: BTreeMap<u64, String>,
 }
 
@@ -53,34 +53,34 @@
     pub term: u64,
 }
 
-pub struct World {
+pub struct Cluster {
     pub replicas: Vec<Replica>,
-    pub bag: Vec<RaftMessage>,
+    pub in_flight: Vec<RaftMessage>,
     pub now: Timestamp,
     pub proposals: u64,
     pub starts: u64,
     pub disks: u64,
-    /// Committed entries that some replica has applied, with that replica's term.
+    /// Entries that some replica has applied, with that replica's term.
     pub committed: BTreeMap<u64, Committed>,
     pub leaders: BTreeMap<u64, u64>,
-    pub blanked: usize,
+    pub wiped_disks: usize,
     pub reads: BTreeMap<u64, u64>,
     pub next_read: u64,
-    /// Replicas that found the group; the places of the others are vacant at first.
-    pub founders: usize,
-    pub places: usize,
+    /// Number of replicas that bootstrap the group; the other slots start vacant.
+    pub bootstrap_replicas: usize,
+    pub slots: usize,
     rng: SmallRng,
 }
 
-/// Messages of the founding.
-fn is_founding(msg: &RaftMessage) -> bool {
+/// Returns whether a message belongs to the bootstrap.
+fn is_bootstrap(msg: &RaftMessage) -> bool {
     matches!(
         msg.body,
         RaftBody::Hello { .. } | RaftBody::HelloReply { .. } | RaftBody::Found { .. }
     )
 }
 
-/// Address of the host of a replica.
+/// Returns the address of a host.
 pub fn address(i: usize) -> String {
     format!("10.0.0.{}:7000", i + 1)
 }
@@ -89,7 +89,7 @@
     Members { disks: BTreeMap::new(), addresses: BTreeMap::new(), failure_domains: BTreeMap::new() }
 }
 
-/// Failure domain of the host of a replica.
+/// Returns the failure domain of a host.
 pub fn failure_domain(i: usize) -> String {
     format!("domain-{}", i % 4)
 }
@@ -98,49 +98,49 @@
     format!("{}:{}", entry.term, serde_json::to_string(&entry.command).unwrap())
 }
 
-impl World {
-    /// A group of three.
-    pub fn new() -> World {
-        World::of(3, 3)
+impl Cluster {
+    /// Creates a group of three.
+    pub fn new() -> Cluster {
+        Cluster::of(3, 3)
     }
 
-    /// A group of which only some found it.
-    pub fn of(places: usize, founders: usize) -> World {
-        let mut world = World::empty(places, founders);
-        for number in 1..=places as u64 {
-            world.add(number);
+    /// Creates a group that only some replicas bootstrap.
+    pub fn of(slots: usize, bootstrap_replicas: usize) -> Cluster {
+        let mut cluster = Cluster::empty(slots, bootstrap_replicas);
+        for number in 1..=slots as u64 {
+            cluster.add(number);
         }
-        for i in 0..places {
-            world.start(i);
+        for i in 0..slots {
+            cluster.start(i);
         }
-        world
+        cluster
     }
 
-    /// Hosts of which none runs yet; those beyond the founders have no place.
-    pub fn of_hosts(places: usize, founders: usize, hosts: usize) -> World {
-        let mut world = World::empty(places, founders);
+    /// Creates stopped hosts; those beyond the bootstrap replicas have no slot.
+    pub fn of_hosts(slots: usize, bootstrap_replicas: usize, hosts: usize) -> Cluster {
+        let mut cluster = Cluster::empty(slots, bootstrap_replicas);
         for i in 0..hosts {
-            world.add(if i < founders { i as u64 + 1 } else { 0 });
-            world.replicas[i].placeless = i >= founders;
+            cluster.add(if i < bootstrap_replicas { i as u64 + 1 } else { 0 });
+            cluster.replicas[i].without_slot = i >= bootstrap_replicas;
         }
-        world
+        cluster
     }
 
-    fn empty(places: usize, founders: usize) -> World {
-        World {
+    fn empty(slots: usize, bootstrap_replicas: usize) -> Cluster {
+        Cluster {
             replicas: Vec::new(),
-            bag: Vec::new(),
+            in_flight: Vec::new(),
             now: Timestamp::default(),
             proposals: 0,
             starts: 0,
             disks: 0,
             committed: BTreeMap::new(),
             leaders: BTreeMap::new(),
-            blanked: 0,
+            wiped_disks: 0,
             reads: BTreeMap::new(),
             next_read: 0,
-            founders,
-            places,
+            bootstrap_replicas,
+            slots,
             rng: SmallRng::seed_from_u64(1),
         }
     }
@@ -148,28 +148,28 @@
     fn add(&mut self, number: u64) {
         let disk = self.new_disk();
         let applied = BTreeMap::new();
-        let (replaced, placeless, raft) = (false, false, None);
-        self.replicas.push(Replica { number, replaced, placeless, raft, disk, applied });
+        let (replaced, without_slot, raft) = (false, false, None);
+        self.replicas.push(Replica { number, replaced, without_slot, raft, disk, applied });
     }
 
     fn options(&self, i: usize, disk: &str) -> Options {
-        let places = self.places;
+        let slots = self.slots;
         let id = self.replicas[i].number;
-        // Where all found the group, the addresses may as well be fixed.
-        let address = |i: usize| match i < self.founders {
+        // Where every replica takes part in the bootstrap, the addresses may be fixed.
+        let address = |i: usize| match i < self.bootstrap_replicas {
             true => address(i),
             false => String::new(),
         };
-        let addresses = match self.founders < places {
-            true => (0..places).map(|i| (i as u64 + 1, address(i))).collect(),
+        let addresses = match self.bootstrap_replicas < slots {
+            true => (0..slots).map(|i| (i as u64 + 1, address(i))).collect(),
             false => BTreeMap::new(),
         };
         Options {
             id,
             disk: disk.into(),
-            replicas: (1..=places as u64).collect(),
+            replicas: (1..=slots as u64).collect(),
             addresses,
-            may_found: i < self.founders,
+            may_found: i < self.bootstrap_replicas,
             failure_domain: failure_domain(i),
             seed: self.starts * 31 + id,
             started_ms: self.starts,
@@ -183,13 +183,13 @@
     }
 
     pub fn start(&mut self, i: usize) {
-        if self.replicas[i].placeless {
+        if self.replicas[i].without_slot {
             return;
         }
-        // Connections end with a process, so what was on its way to the one before is lost. The
-        // log bears such messages all the same; founding relies on it.
+        // Connections end with a process, so messages in flight to the previous one are lost. The
+        // log tolerates such messages, but the bootstrap does not.
         let number = self.replicas[i].number;
-        self.bag.retain(|msg| msg.to != number || !is_founding(msg));
+        self.in_flight.retain(|msg| msg.to != number || !is_bootstrap(msg));
         self.starts += 1;
         let opts = self.options(i, &self.replicas[i].disk.id.clone());
         let replica = &mut self.replicas[i];
@@ -206,15 +206,16 @@
         replica.raft = Some(Raft::new(opts, restored, self.now));
     }
 
-    /// Does what a replica asks for; `crash_after` stops in the middle, as a lost host does.
-    pub fn work_off(&mut self, i: usize, crash_after: Option<u8>) {
+    /// Performs the actions that a replica requests. `crash_after` stops it midway, as a crash of
+    /// the host does.
+    pub fn process_ready(&mut self, i: usize, crash_after: Option<u8>) {
         loop {
             let Some(raft) = &mut self.replicas[i].raft else { return };
             let ready = raft.take_ready();
             if ready.is_empty() {
                 return;
             }
-            self.bag.extend(ready.before);
+            self.in_flight.extend(ready.before);
             if crash_after == Some(0) {
                 self.replicas[i].raft = None;
                 return;
@@ -233,7 +234,7 @@
                 replica.raft = None;
                 return;
             }
-            self.bag.extend(ready.after);
+            self.in_flight.extend(ready.after);
             for entry in ready.committed {
                 self.apply(i, &entry);
             }
@@ -253,15 +254,16 @@
 
     pub fn apply(&mut self, i: usize, entry: &Entry) {
         let name = name(entry);
-        // A founding that was lost before any other replica took it is made anew: nothing could
-        // be accepted in between. That no two foundings stand side by side is checked below.
+        // A bootstrap entry that no other replica received before it was lost is written again;
+        // nothing was accepted in between. Two bootstraps at the same time fail the assertion
+        // below.
         if entry.index == 1 && self.committed.len() == 1 {
             self.committed.clear();
         }
         let term = self.replicas[i].raft.as_ref().map_or(0, Raft::term);
         let committed = || Committed { name: name.clone(), term };
-        let known = self.committed.entry(entry.index).or_insert_with(committed);
-        assert_eq!(known.name, name, "two replicas applied different entries at {}", entry.index);
+        let first = self.committed.entry(entry.index).or_insert_with(committed);
+        assert_eq!(first.name, name, "two replicas applied different entries at {}", entry.index);
         self.replicas[i].applied.insert(entry.index, name);
     }
 
@@ -285,8 +287,9 @@
         let snapshot = self.snapshot(i);
         let replica = &mut self.replicas[i];
         let Some(raft) = &mut replica.raft else { return };
-        // A log is long before it is compacted, so its founding has reached the others by then.
-        if snapshot.index <= raft.log().base().index.max(LONG) {
+        // A log is long before it is compacted, so its bootstrap entry has reached the others by
+        // then.
+        if snapshot.index <= raft.log().base().index.max(MIN_COMPACTED_INDEX) {
             return;
         }
         replica.disk.entries.retain(|e| e.index > snapshot.index);
@@ -294,13 +297,13 @@
         replica.disk.snapshot = Some(snapshot);
     }
 
-    /// Lets some time pass and delivers everything.
-    pub fn pass_calmly(&mut self) {
+    /// Advances the time by 50 ms and delivers all messages.
+    pub fn run_fault_free(&mut self) {
         self.tick_all(50_000);
         for _ in 0..4 {
-            for msg in std::mem::take(&mut self.bag) {
-                self.bag.push(msg);
-                let last = self.bag.len() - 1;
+            for msg in std::mem::take(&mut self.in_flight) {
+                self.in_flight.push(msg);
+                let last = self.in_flight.len() - 1;
                 self.deliver(last, false);
             }
         }
@@ -340,8 +343,8 @@
     }
 
     pub fn deliver(&mut self, at: usize, keep: bool) {
-        let msg = if keep { self.bag[at].clone() } else { self.bag.swap_remove(at) };
-        // Of two under one number, either may be reached.
+        let msg = if keep { self.in_flight[at].clone() } else { self.in_flight.swap_remove(at) };
+        // Where two replicas run under one number, either may receive the message.
         let reached: Vec<usize> = (0..self.replicas.len())
             .filter(|i| self.replicas[*i].number == msg.to && self.replicas[*i].raft.is_some())
             .collect();
@@ -350,7 +353,7 @@
         if let Some(raft) = &mut self.replicas[i].raft {
             raft.step(now, msg);
         }
-        self.work_off(i, None);
+        self.process_ready(i, None);
     }
 
     pub fn tick_all(&mut self, micros: u64) {
@@ -360,7 +363,7 @@
             if let Some(raft) = &mut self.replicas[i].raft {
                 raft.tick(now);
             }
-            self.work_off(i, None);
+            self.process_ready(i, None);
         }
     }
 }
--- a/crates/cherrystream-core/tests/sessions.rs
+++ b/crates/cherrystream-core/tests/sessions.rs
@@ -391,7 +391,7 @@
     insta::assert_snapshot!(s.0);
 }
 
-/// Delivers messages between replicas until none are left, but for those that `cut` drops.
+/// Delivers messages between replicas until none are left, except those that `cut` drops.
 fn deliver(group: &mut [Raft], now: Timestamp, cut: &dyn Fn(u64, u64) -> bool) {
     loop {
         let mut messages = Vec::new();
@@ -453,25 +453,25 @@
         }
     };
     run(&mut group, 100, &|_, to| to == 3);
-    s.event("three blank disks, the third unheard", views(&group));
+    s.event("three blank disks, the third unreachable", views(&group));
     run(&mut group, 3_000, &|_, _| false);
-    s.event("all are heard", views(&group));
+    s.event("all are reachable", views(&group));
     let leader = group.iter().position(Raft::is_leader).unwrap();
     let old = group[leader].id();
     run(&mut group, 8_000, &|from, to| from == old || to == old);
-    s.event(&format!("replica {old} is cut off silently"), views(&group));
+    s.event(&format!("replica {old} is partitioned from the others"), views(&group));
     run(&mut group, 10_000, &|_, _| false);
-    s.event("it is back", views(&group));
+    s.event("the partition heals", views(&group));
     let lost = group.iter().position(|r| !r.is_leader()).unwrap();
     group[lost] = replica(group[lost].id(), "disk-new", 2, ms(10_000));
     let id = group[lost].id();
-    s.event(&format!("replica {id} comes with a blank disk"), views(&group));
+    s.event(&format!("replica {id} restarts with a blank disk"), views(&group));
     run(&mut group, 10_200, &|_, _| false);
     s.event("it catches up and votes", views(&group));
     let leader = group.iter().position(Raft::is_leader).unwrap();
     let gone = group[leader].id();
     group.remove(leader);
     run(&mut group, 16_000, &|_, _| false);
-    s.event(&format!("replica {gone} is lost for good right after"), views(&group));
+    s.event(&format!("replica {gone} is lost immediately afterwards"), views(&group));
     insta::assert_snapshot!(s.0);
 }
