--- a/crates/cherrystream-control/src/driver.rs
+++ b/crates/cherrystream-control/src/driver.rs
@@ -9,7 +9,7 @@
 use crate::snapshots::{self, Made};
 use crate::store::{Batch, Store};
 use cherrystream_core::raft::asking::{self, PlaceView};
-use cherrystream_core::raft::{Newcomer, Options, Position, Raft, Ready};
+use cherrystream_core::raft::{JoiningReplica, Options, Position, Raft, Ready};
 use cherrystream_core::state::{Applied, ControlState};
 use cherrystream_core::units::Timestamp;
 use cherrystream_net::clock::Clock;
@@ -205,7 +205,7 @@
             }
             Event::Admit(request, reply) => {
                 let leader = self.raft.leader();
-                let newcomer = Newcomer {
+                let newcomer = JoiningReplica {
                     address: &request.address,
                     disk: &request.disk,
                     failure_domain: &request.failure_domain,
--- a/crates/cherrystream-core/src/raft/joining.rs
+++ b/crates/cherrystream-core/src/raft/joining.rs
@@ -23,7 +23,7 @@
 
 /// A replica that asks for a member slot.
 #[derive(Clone, Copy, Debug)]
-pub struct Newcomer<'a> {
+pub struct JoiningReplica<'a> {
     /// Address of the replica.
     pub address: &'a str,
     /// Identifier of its disk.
@@ -86,27 +86,27 @@
 
 impl Raft {
     /// Admits a joining replica as a learner if a member slot is free for it. Only a leader admits.
-    pub fn admit(&mut self, now: Timestamp, newcomer: Newcomer<'_>) -> Admission {
+    pub fn admit(&mut self, now: Timestamp, joining: JoiningReplica<'_>) -> Admission {
         if !self.is_leader() {
             return Admission::NotNow;
         }
-        if newcomer.disk == self.opts.disk {
+        if joining.disk == self.opts.disk {
             // The leader's own request was forwarded back to it.
             return Admission::Granted(self.opts.id);
         }
-        if self.own_address() == Some(newcomer.address) {
+        if self.own_address() == Some(joining.address) {
             return Admission::NotNow;
         }
-        self.record_pending_join(now, newcomer);
-        let id = match newcomer.runs_as {
-            Some(id) if self.has_lost_slot(id, newcomer.disk) => return Admission::Lost,
-            Some(id) => Some(id).filter(|id| self.may_use_slot(now, *id, newcomer)),
-            None => self.find_slot(now, newcomer),
+        self.record_pending_join(now, joining);
+        let id = match joining.runs_as {
+            Some(id) if self.has_lost_slot(id, joining.disk) => return Admission::Lost,
+            Some(id) => Some(id).filter(|id| self.may_use_slot(now, *id, joining)),
+            None => self.find_slot(now, joining),
         };
         let (Some(id), Role::Leader(state)) = (id, &mut self.role) else {
             return Admission::NotNow;
         };
-        let Newcomer { address, disk, failure_domain, .. } = newcomer;
+        let JoiningReplica { address, disk, failure_domain, .. } = joining;
         let learner = Learner {
             address: address.into(),
             disk: disk.into(),
@@ -135,20 +135,20 @@
     }
 
     /// Returns whether a replica may run under the number that it asks for.
-    fn may_use_slot(&self, now: Timestamp, id: u64, newcomer: Newcomer<'_>) -> bool {
+    fn may_use_slot(&self, now: Timestamp, id: u64, joining: JoiningReplica<'_>) -> bool {
         let exists = self.others().contains(&id);
-        let free = || self.is_free(now, id) || self.is_replaceable(now, id, newcomer.stands_by);
-        exists && (self.is_assigned(id, newcomer.disk) || free())
+        let free = || self.is_free(now, id) || self.is_replaceable(now, id, joining.stands_by);
+        exists && (self.is_assigned(id, joining.disk) || free())
     }
 
-    fn find_slot(&self, now: Timestamp, newcomer: Newcomer<'_>) -> Option<u64> {
-        let Newcomer { address, disk, stands_by, .. } = newcomer;
+    fn find_slot(&self, now: Timestamp, joining: JoiningReplica<'_>) -> Option<u64> {
+        let JoiningReplica { address, disk, stands_by, .. } = joining;
         let others = self.others();
         let find = |wanted: &dyn Fn(u64) -> bool| others.iter().copied().find(|id| wanted(*id));
         // Repeated requests of a replica get the same number.
         let assigned = || find(&|id| self.is_assigned(id, disk));
         let same_host = || find(&|id| self.logged_address(id) == Some(address));
-        let suits = |id: u64| self.is_suitable(now, id, newcomer);
+        let suits = |id: u64| self.is_suitable(now, id, joining);
         let vacant = || find(&|id| self.is_free(now, id) && suits(id));
         let replaceable = || find(&|id| self.is_replaceable(now, id, stands_by) && suits(id));
         assigned().or_else(same_host).or_else(vacant).or_else(replaceable)
--- a/crates/cherrystream-core/src/raft/placement.rs
+++ b/crates/cherrystream-core/src/raft/placement.rs
@@ -4,7 +4,7 @@
 //! domain without a replica receive every change from a remote one. A slot therefore goes to a
 //! replica of the failure domain that holds the fewest.
 
-use super::joining::Newcomer;
+use super::joining::JoiningReplica;
 use super::{Raft, Role};
 use crate::units::Timestamp;
 use std::collections::BTreeMap;
@@ -31,14 +31,14 @@
 }
 
 impl PendingJoins {
-    fn record(&mut self, now: Timestamp, newcomer: Newcomer<'_>) {
+    fn record(&mut self, now: Timestamp, joining: JoiningReplica<'_>) {
         self.by_disk.retain(|_, join| now.since(join.last_request) < REQUEST_EXPIRY);
         let fresh = || PendingJoin {
-            failure_domain: newcomer.failure_domain.into(),
+            failure_domain: joining.failure_domain.into(),
             first_request: now,
             last_request: now,
         };
-        let join = self.by_disk.entry(newcomer.disk.into()).or_insert_with(fresh);
+        let join = self.by_disk.entry(joining.disk.into()).or_insert_with(fresh);
         join.last_request = now;
     }
 
@@ -58,11 +58,11 @@
 
 impl Raft {
     /// Records the request of a replica without a member slot.
-    pub(super) fn record_pending_join(&mut self, now: Timestamp, newcomer: Newcomer<'_>) {
-        if newcomer.runs_as.is_none()
+    pub(super) fn record_pending_join(&mut self, now: Timestamp, joining: JoiningReplica<'_>) {
+        if joining.runs_as.is_none()
             && let Role::Leader(state) = &mut self.role
         {
-            state.pending_joins.record(now, newcomer);
+            state.pending_joins.record(now, joining);
         }
     }
 
@@ -70,16 +70,21 @@
     /// fewer slots, and others had time to ask. A replica that replaces a lost one does not wait,
     /// because the group lacks a replica until then, and standby replicas wait longer for that slot
     /// anyway.
-    pub(super) fn is_suitable(&self, now: Timestamp, slot: u64, newcomer: Newcomer<'_>) -> bool {
+    pub(super) fn is_suitable(
+        &self,
+        now: Timestamp,
+        slot: u64,
+        joining: JoiningReplica<'_>,
+    ) -> bool {
         let Role::Leader(state) = &self.role else { return false };
         let held = self.slots_by_domain(now, slot);
         let count = |domain: &str| held.get(domain).copied().unwrap_or(0);
-        let own = count(newcomer.failure_domain);
-        if own == 0 || newcomer.failure_domain.is_empty() || !newcomer.stands_by {
+        let own = count(joining.failure_domain);
+        if own == 0 || joining.failure_domain.is_empty() || !joining.stands_by {
             return true;
         }
-        let waited = state.pending_joins.waited(now, newcomer.disk) >= DOMAIN_PREFERENCE_DELAY;
-        let mut others = state.pending_joins.other_domains(now, newcomer.disk);
+        let waited = state.pending_joins.waited(now, joining.disk) >= DOMAIN_PREFERENCE_DELAY;
+        let mut others = state.pending_joins.other_domains(now, joining.disk);
         waited && !others.any(|domain| count(domain) < own)
     }
 
--- a/crates/cherrystream-core/tests/raft_bootstrap/mod.rs
+++ b/crates/cherrystream-core/tests/raft_bootstrap/mod.rs
@@ -4,7 +4,7 @@
 use super::raft_cluster::{Cluster, address, failure_domain};
 use arbtest::arbitrary::{Result as ArbResult, Unstructured};
 use cherrystream_core::raft::asking::{self, Asking, PlaceView};
-use cherrystream_core::raft::{Admission, Newcomer, Raft};
+use cherrystream_core::raft::{Admission, JoiningReplica, Raft};
 use cherrystream_core::units::Timestamp;
 
 /// Steps of one schedule.
@@ -95,14 +95,14 @@
             let Some(raft) = &mut self.cluster.replicas[request.to].raft else { return };
             let address = address(request.from);
             if raft.is_leader() {
-                let newcomer = Newcomer {
+                let joining = JoiningReplica {
                     address: &address,
                     disk: &request.disk,
                     failure_domain: &failure_domain(request.from),
                     stands_by: true,
                     runs_as: request.runs_as,
                 };
-                let admission = raft.admit(now, newcomer);
+                let admission = raft.admit(now, joining);
                 let Request { from: to, process, .. } = request;
                 self.replies.push(Reply { to, process, admission });
                 return;
--- a/crates/cherrystream-core/tests/raft_cluster/membership.rs
+++ b/crates/cherrystream-core/tests/raft_cluster/membership.rs
@@ -1,7 +1,7 @@
 //! Member slots: join requests, and hosts that lose their disks or are replaced.
 
 use super::{Cluster, Replica, address, failure_domain};
-use cherrystream_core::raft::{Admission, Newcomer, Raft};
+use cherrystream_core::raft::{Admission, JoiningReplica, Raft};
 
 impl Cluster {
     /// Sends the join requests of replicas whose disks do not vote. A replica that lost its slot
@@ -34,7 +34,7 @@
         let now = self.now;
         let disk = self.replicas[i].disk.id.clone();
         let address = address(i);
-        let newcomer = Newcomer {
+        let joining = JoiningReplica {
             address: &address,
             disk: &disk,
             failure_domain: &failure_domain(i),
@@ -42,7 +42,7 @@
             runs_as,
         };
         let rafts = self.replicas.iter_mut().filter_map(|r| r.raft.as_mut());
-        let mut replies = rafts.map(|raft| raft.admit(now, newcomer));
+        let mut replies = rafts.map(|raft| raft.admit(now, joining));
         replies.find(|reply| *reply != Admission::NotNow).unwrap_or(Admission::NotNow)
     }
 
--- a/crates/cherrystream-core/tests/raft_joining/mod.rs
+++ b/crates/cherrystream-core/tests/raft_joining/mod.rs
@@ -1,7 +1,7 @@
 //! Replaced hosts: a joining replica at another address takes over the number of a lost replica.
 
 use super::raft_cluster::{Cluster, Disk, address, failure_domain};
-use cherrystream_core::raft::{Admission, Newcomer, Raft};
+use cherrystream_core::raft::{Admission, JoiningReplica, Raft};
 use cherrystream_schema::messages::{Command, RaftBody};
 
 use std::time::Duration;
@@ -27,14 +27,14 @@
 fn request_slot(cluster: &mut Cluster, disk: &Disk, stands_by: bool) -> Option<u64> {
     let now = cluster.now;
     let i = leader(cluster);
-    let newcomer = Newcomer {
+    let joining = JoiningReplica {
         address: NEW_ADDRESS,
         disk: &disk.id,
         failure_domain: "",
         stands_by,
         runs_as: None,
     };
-    match cluster.replicas[i].raft.as_mut().unwrap().admit(now, newcomer) {
+    match cluster.replicas[i].raft.as_mut().unwrap().admit(now, joining) {
         Admission::Granted(replica) => Some(replica),
         Admission::NotNow | Admission::Lost => None,
     }
@@ -264,9 +264,9 @@
     let address = address(i);
     let mut ask = |disk: &str, runs_as: Option<u64>| {
         let failure_domain = &failure_domain(i);
-        let newcomer =
-            Newcomer { address: &address, disk, failure_domain, stands_by: true, runs_as };
-        raft.admit(now, newcomer)
+        let joining =
+            JoiningReplica { address: &address, disk, failure_domain, stands_by: true, runs_as };
+        raft.admit(now, joining)
     };
     let own_slot = i as u64 + 1;
     assert_eq!(ask(&own, None), Admission::Granted(own_slot));
@@ -285,9 +285,9 @@
     let now = cluster.now;
     let i = leader(cluster);
     let address = &address(host);
-    let newcomer =
-        Newcomer { address, disk: &disk.id, failure_domain, stands_by: true, runs_as: None };
-    cluster.replicas[i].raft.as_mut().unwrap().admit(now, newcomer)
+    let joining =
+        JoiningReplica { address, disk: &disk.id, failure_domain, stands_by: true, runs_as: None };
+    cluster.replicas[i].raft.as_mut().unwrap().admit(now, joining)
 }
 
 /// Five slots, three of them filled at bootstrap; the first replica to ask is in a failure domain
@@ -364,13 +364,13 @@
     );
     let i = leader(&cluster);
     let (now, failure_domain) = (cluster.now, failure_domain(i));
-    let newcomer = Newcomer {
+    let joining = JoiningReplica {
         address: NEW_ADDRESS,
         disk: &disk.id,
         failure_domain: &failure_domain,
         stands_by: false,
         runs_as: None,
     };
-    let granted = cluster.replicas[i].raft.as_mut().unwrap().admit(now, newcomer);
+    let granted = cluster.replicas[i].raft.as_mut().unwrap().admit(now, joining);
     assert_eq!(granted, Admission::Granted(gone as u64 + 1));
 }
