--- a/crates/cherrystream-control/src/handle.rs
+++ b/crates/cherrystream-control/src/handle.rs
@@ -2,7 +2,7 @@
 
 use crate::applier::Outcome;
 use cherrystream_core::raft::asking::{PlaceView, QuorumWord};
-use cherrystream_core::raft::{Admission, ReplicaView};
+use cherrystream_core::raft::{JoinDecision, ReplicaView};
 use cherrystream_core::state::{Applied, ControlState};
 use cherrystream_core::units::Timestamp;
 use cherrystream_schema::messages::{Command, JoinRequest, RaftMessage, ReplicaAddress};
@@ -42,7 +42,7 @@
     /// A question for what the leader knows of the others.
     Views(oneshot::Sender<Vec<ReplicaView>>),
     /// A replica asks for a place in the group; the reply says whether it may have one.
-    Admit(Box<JoinRequest>, oneshot::Sender<Result<Admission, NoResult>>),
+    Admit(Box<JoinRequest>, oneshot::Sender<Result<JoinDecision, NoResult>>),
     /// Committed entries were applied.
     Applied(Vec<Outcome>),
     /// Hand the leadership over, then answer.
@@ -106,7 +106,7 @@
     /// # Errors
     ///
     /// Fails on a replica that does not lead.
-    pub async fn admit(&self, request: JoinRequest) -> Result<Admission, NoResult> {
+    pub async fn admit(&self, request: JoinRequest) -> Result<JoinDecision, NoResult> {
         let (tx, rx) = oneshot::channel();
         self.send(Event::Admit(Box::new(request), tx))?;
         wait(rx).await
--- a/crates/cherrystream-control/src/rpc_server.rs
+++ b/crates/cherrystream-control/src/rpc_server.rs
@@ -12,7 +12,7 @@
 use crate::rollouts::Rollouts;
 use cherrystream_core::instances;
 use cherrystream_core::ledger;
-use cherrystream_core::raft::Admission;
+use cherrystream_core::raft::JoinDecision;
 use cherrystream_core::replica_choice;
 use cherrystream_core::state::Applied;
 use cherrystream_core::units::Revision;
@@ -214,10 +214,10 @@
 
     /// Lets a replica in. That a place is lost is said only with a quorum's word, for a replica gives
     /// its data up on it: a leader that was deposed without knowing could be wrong.
-    async fn admit_by_quorum(&self, req: &JoinRequest) -> Result<Admission, NoResult> {
-        let admission = self.handle.admit(req.clone()).await?;
-        if admission != Admission::Lost {
-            return Ok(admission);
+    async fn admit_by_quorum(&self, req: &JoinRequest) -> Result<JoinDecision, NoResult> {
+        let decision = self.handle.admit(req.clone()).await?;
+        if decision != JoinDecision::SlotLost {
+            return Ok(decision);
         }
         self.handle.read().await?;
         self.handle.admit(req.clone()).await
@@ -323,8 +323,8 @@
     }
 
     async fn join(&self, req: JoinRequest) -> RpcResult<JoinReply> {
-        let admission = match self.admit_by_quorum(&req).await {
-            Ok(admission) => admission,
+        let decision = match self.admit_by_quorum(&req).await {
+            Ok(decision) => decision,
             Err(NoResult::NotLeader { leader: Some(leader) }) => {
                 let line = self.lines.get(&leader).ok_or_else(|| self.not_leader(None))?;
                 let client = line.client().await.ok_or_else(|| self.not_leader(None))?;
@@ -334,11 +334,11 @@
         };
         let addresses = self.handle.addresses.read();
         let addresses = addresses.iter().map(|(id, at)| (id.to_string(), at.address.clone()));
-        let replica = match admission {
-            Admission::Granted(replica) => Some(replica),
-            Admission::NotNow | Admission::Lost => None,
+        let replica = match decision {
+            JoinDecision::Granted(replica) => Some(replica),
+            JoinDecision::Deferred | JoinDecision::SlotLost => None,
         };
-        let place_lost = admission == Admission::Lost;
+        let place_lost = decision == JoinDecision::SlotLost;
         Ok(JoinReply { replica, place_lost, addresses: addresses.collect() })
     }
 
--- a/crates/cherrystream-core/src/raft/joining.rs
+++ b/crates/cherrystream-core/src/raft/joining.rs
@@ -38,13 +38,13 @@
 
 /// A leader's answer to a replica that asks for a member slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admission {
+pub enum JoinDecision {
     /// The replica may run under this number.
     Granted(u64),
     /// No slot is free for it at present; it may retry.
-    NotNow,
+    Deferred,
     /// The log names another disk for its slot, and the leader is in contact with that disk.
-    Lost,
+    SlotLost,
 }
 
 /// A replica that was admitted to catch up.
@@ -86,25 +86,25 @@
 
 impl Raft {
     /// Admits a joining replica as a learner if a member slot is free for it. Only a leader admits.
-    pub fn admit(&mut self, now: Timestamp, joining: JoiningReplica<'_>) -> Admission {
+    pub fn admit(&mut self, now: Timestamp, joining: JoiningReplica<'_>) -> JoinDecision {
         if !self.is_leader() {
-            return Admission::NotNow;
+            return JoinDecision::Deferred;
         }
         if joining.disk == self.opts.disk {
             // The leader's own request was forwarded back to it.
-            return Admission::Granted(self.opts.id);
+            return JoinDecision::Granted(self.opts.id);
         }
         if self.own_address() == Some(joining.address) {
-            return Admission::NotNow;
+            return JoinDecision::Deferred;
         }
         self.record_pending_join(now, joining);
         let id = match joining.runs_as {
-            Some(id) if self.has_lost_slot(id, joining.disk) => return Admission::Lost,
+            Some(id) if self.has_lost_slot(id, joining.disk) => return JoinDecision::SlotLost,
             Some(id) => Some(id).filter(|id| self.may_use_slot(now, *id, joining)),
             None => self.find_slot(now, joining),
         };
         let (Some(id), Role::Leader(state)) = (id, &mut self.role) else {
-            return Admission::NotNow;
+            return JoinDecision::Deferred;
         };
         let JoiningReplica { address, disk, failure_domain, .. } = joining;
         let learner = Learner {
@@ -114,7 +114,7 @@
             last_seen: now,
         };
         state.learners.insert(id, learner);
-        Admission::Granted(id)
+        JoinDecision::Granted(id)
     }
 
     fn own_address(&self) -> Option<&str> {
--- a/crates/cherrystream-core/src/raft/mod.rs
+++ b/crates/cherrystream-core/src/raft/mod.rs
@@ -19,7 +19,7 @@
 mod progress;
 mod ready;
 
-pub use joining::{Admission, JoiningReplica};
+pub use joining::{JoinDecision, JoiningReplica};
 pub use leader::ReplicaView;
 pub use log::Log;
 pub use options::Options;
--- a/crates/cherrystream-core/tests/raft_bootstrap/mod.rs
+++ b/crates/cherrystream-core/tests/raft_bootstrap/mod.rs
@@ -4,7 +4,7 @@
 use super::raft_cluster::{Cluster, address, failure_domain};
 use arbtest::arbitrary::{Result as ArbResult, Unstructured};
 use cherrystream_core::raft::asking::{self, Asking, PlaceView};
-use cherrystream_core::raft::{Admission, JoiningReplica, Raft};
+use cherrystream_core::raft::{JoinDecision, JoiningReplica, Raft};
 use cherrystream_core::units::Timestamp;
 
 /// Steps of one schedule.
@@ -34,7 +34,7 @@
 struct Reply {
     to: usize,
     process: u64,
-    admission: Admission,
+    decision: JoinDecision,
 }
 
 struct Hosts {
@@ -102,9 +102,9 @@
                     stands_by: true,
                     runs_as: request.runs_as,
                 };
-                let admission = raft.admit(now, joining);
+                let decision = raft.admit(now, joining);
                 let Request { from: to, process, .. } = request;
-                self.replies.push(Reply { to, process, admission });
+                self.replies.push(Reply { to, process, decision });
                 return;
             }
             raft.leader()
@@ -122,13 +122,15 @@
             return;
         }
         let without_slot = self.cluster.replicas[i].without_slot;
-        match reply.admission {
-            Admission::Granted(number) if without_slot => {
+        match reply.decision {
+            JoinDecision::Granted(number) if without_slot => {
                 self.cluster.replicas[i].number = number;
                 self.cluster.replicas[i].without_slot = false;
                 self.start(i);
             }
-            Admission::Lost if self.view(i).is_some_and(asking::may_give_up) => self.discard_log(i),
+            JoinDecision::SlotLost if self.view(i).is_some_and(asking::may_give_up) => {
+                self.discard_log(i)
+            }
             _ => {}
         }
     }
--- a/crates/cherrystream-core/tests/raft_cluster/membership.rs
+++ b/crates/cherrystream-core/tests/raft_cluster/membership.rs
@@ -1,7 +1,7 @@
 //! Member slots: join requests, and hosts that lose their disks or are replaced.
 
 use super::{Cluster, Replica, address, failure_domain};
-use cherrystream_core::raft::{Admission, JoiningReplica, Raft};
+use cherrystream_core::raft::{JoinDecision, JoiningReplica, Raft};
 
 impl Cluster {
     /// Sends the join requests of replicas whose disks do not vote. A replica that lost its slot
@@ -13,14 +13,14 @@
         let does_not_vote = |r: &Replica| r.raft.as_ref().is_some_and(|raft| !raft.is_voter());
         for i in 0..self.replicas.len() {
             if does_not_vote(&self.replicas[i])
-                && self.request_slot(i, Some(self.replicas[i].number)) == Admission::Lost
+                && self.request_slot(i, Some(self.replicas[i].number)) == JoinDecision::SlotLost
             {
                 self.replicas[i].raft = None;
                 self.replicas[i].without_slot = true;
                 self.replicas[i].disk = self.new_disk();
             }
             if self.replicas[i].without_slot
-                && let Admission::Granted(number) = self.request_slot(i, None)
+                && let JoinDecision::Granted(number) = self.request_slot(i, None)
             {
                 self.replicas[i].without_slot = false;
                 self.replicas[i].number = number;
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Asks each leader for a slot, and returns the first answer other than `NotNow`.
-    fn request_slot(&mut self, i: usize, runs_as: Option<u64>) -> Admission {
+    /// Asks each leader for a slot, and returns the first answer other than `Deferred`.
+    fn request_slot(&mut self, i: usize, runs_as: Option<u64>) -> JoinDecision {
         let now = self.now;
         let disk = self.replicas[i].disk.id.clone();
         let address = address(i);
@@ -43,7 +43,7 @@
         };
         let rafts = self.replicas.iter_mut().filter_map(|r| r.raft.as_mut());
         let mut replies = rafts.map(|raft| raft.admit(now, joining));
-        replies.find(|reply| *reply != Admission::NotNow).unwrap_or(Admission::NotNow)
+        replies.find(|reply| *reply != JoinDecision::Deferred).unwrap_or(JoinDecision::Deferred)
     }
 
     /// Replaces a lost host by another one with a blank disk.
--- a/crates/cherrystream-core/tests/raft_joining/mod.rs
+++ b/crates/cherrystream-core/tests/raft_joining/mod.rs
@@ -1,7 +1,7 @@
 //! Replaced hosts: a joining replica at another address takes over the number of a lost replica.
 
 use super::raft_cluster::{Cluster, Disk, address, failure_domain};
-use cherrystream_core::raft::{Admission, JoiningReplica, Raft};
+use cherrystream_core::raft::{JoinDecision, JoiningReplica, Raft};
 use cherrystream_schema::messages::{Command, RaftBody};
 
 use std::time::Duration;
@@ -35,8 +35,8 @@
         runs_as: None,
     };
     match cluster.replicas[i].raft.as_mut().unwrap().admit(now, joining) {
-        Admission::Granted(replica) => Some(replica),
-        Admission::NotNow | Admission::Lost => None,
+        JoinDecision::Granted(replica) => Some(replica),
+        JoinDecision::Deferred | JoinDecision::SlotLost => None,
     }
 }
 
@@ -269,10 +269,10 @@
         raft.admit(now, joining)
     };
     let own_slot = i as u64 + 1;
-    assert_eq!(ask(&own, None), Admission::Granted(own_slot));
-    assert_eq!(ask(&own, Some(own_slot)), Admission::Granted(own_slot));
-    assert_eq!(ask("another disk", None), Admission::NotNow);
-    assert_eq!(ask("another disk", Some(4)), Admission::NotNow);
+    assert_eq!(ask(&own, None), JoinDecision::Granted(own_slot));
+    assert_eq!(ask(&own, Some(own_slot)), JoinDecision::Granted(own_slot));
+    assert_eq!(ask("another disk", None), JoinDecision::Deferred);
+    assert_eq!(ask("another disk", Some(4)), JoinDecision::Deferred);
 }
 
 /// Requests a slot for a standby replica on the host with this index.
@@ -281,7 +281,7 @@
     disk: &Disk,
     host: usize,
     failure_domain: &str,
-) -> Admission {
+) -> JoinDecision {
     let now = cluster.now;
     let i = leader(cluster);
     let address = &address(host);
@@ -298,20 +298,26 @@
     run(&mut cluster, 80);
     let [first, second, third, fourth] = [0; 4].map(|_| cluster.new_disk());
     let held_domain = failure_domain(0);
-    assert_eq!(request_standby_slot(&mut cluster, &first, 10, &held_domain), Admission::NotNow);
-    assert_eq!(request_standby_slot(&mut cluster, &second, 11, "elsewhere"), Admission::Granted(4));
+    assert_eq!(
+        request_standby_slot(&mut cluster, &first, 10, &held_domain),
+        JoinDecision::Deferred
+    );
+    assert_eq!(
+        request_standby_slot(&mut cluster, &second, 11, "elsewhere"),
+        JoinDecision::Granted(4)
+    );
     assert_eq!(
         request_standby_slot(&mut cluster, &third, 12, "elsewhere"),
-        Admission::NotNow,
+        JoinDecision::Deferred,
         "its failure domain has a learner"
     );
     assert_eq!(
         request_standby_slot(&mut cluster, &fourth, 13, "yet elsewhere"),
-        Admission::Granted(5)
+        JoinDecision::Granted(5)
     );
     assert_eq!(
         request_standby_slot(&mut cluster, &first, 10, &held_domain),
-        Admission::NotNow,
+        JoinDecision::Deferred,
         "no slot is left"
     );
 }
@@ -323,10 +329,16 @@
     let disk = cluster.new_disk();
     let held_domain = failure_domain(1);
     for _ in 0..20 {
-        assert_eq!(request_standby_slot(&mut cluster, &disk, 10, &held_domain), Admission::NotNow);
+        assert_eq!(
+            request_standby_slot(&mut cluster, &disk, 10, &held_domain),
+            JoinDecision::Deferred
+        );
         run(&mut cluster, 1);
     }
-    assert_eq!(request_standby_slot(&mut cluster, &disk, 10, &held_domain), Admission::Granted(4));
+    assert_eq!(
+        request_standby_slot(&mut cluster, &disk, 10, &held_domain),
+        JoinDecision::Granted(4)
+    );
 }
 
 /// The slot of a lost bootstrap replica is reserved for its own failure domain, which holds no
@@ -338,7 +350,7 @@
     for (number, domain) in [(4, "fourth"), (5, "fifth")] {
         let disk = cluster.replicas[number - 1].disk.clone();
         let granted = request_standby_slot(&mut cluster, &disk, number - 1, domain);
-        assert_eq!(granted, Admission::Granted(number as u64));
+        assert_eq!(granted, JoinDecision::Granted(number as u64));
     }
     run(&mut cluster, 80);
     let gone = (leader(&cluster) + 1) % 3;
@@ -346,8 +358,8 @@
     cluster.replicas[gone].raft = None;
     run(&mut cluster, 220);
     let [far, near] = [0; 2].map(|_| cluster.new_disk());
-    assert_eq!(request_standby_slot(&mut cluster, &far, 10, "fourth"), Admission::NotNow);
-    let granted = Admission::Granted(gone as u64 + 1);
+    assert_eq!(request_standby_slot(&mut cluster, &far, 10, "fourth"), JoinDecision::Deferred);
+    let granted = JoinDecision::Granted(gone as u64 + 1);
     assert_eq!(request_standby_slot(&mut cluster, &near, 11, &lost), granted);
 }
 
@@ -359,7 +371,7 @@
     let standby = cluster.new_disk();
     assert_eq!(
         request_standby_slot(&mut cluster, &standby, 11, "elsewhere"),
-        Admission::NotNow,
+        JoinDecision::Deferred,
         "too early"
     );
     let i = leader(&cluster);
@@ -372,5 +384,5 @@
         runs_as: None,
     };
     let granted = cluster.replicas[i].raft.as_mut().unwrap().admit(now, joining);
-    assert_eq!(granted, Admission::Granted(gone as u64 + 1));
+    assert_eq!(granted, JoinDecision::Granted(gone as u64 + 1));
 }
