--- a/crates/cherrystream-control/src/driver.rs
+++ b/crates/cherrystream-control/src/driver.rs
@@ -8,7 +8,7 @@
 use crate::peers::Peers;
 use crate::snapshots::{self, Made};
 use crate::store::{Batch, Store};
-use cherrystream_core::raft::asking::{self, PlaceView};
+use cherrystream_core::raft::rejoin::{self, PlaceView};
 use cherrystream_core::raft::{JoiningReplica, Options, Position, Raft, Ready};
 use cherrystream_core::state::{Applied, ControlState};
 use cherrystream_core::units::Timestamp;
@@ -234,7 +234,7 @@
             votes: self.raft.is_voter(),
             word: self.raft.quorum_word(self.clock.now()),
         };
-        let gives_up = asking::may_give_up(view);
+        let gives_up = rejoin::may_discard_data(view);
         if !gives_up {
             log::warn!(
                 "control: replica {} was told that its place is lost, but is part of a quorum; it \
--- a/crates/cherrystream-control/src/handle.rs
+++ b/crates/cherrystream-control/src/handle.rs
@@ -1,7 +1,7 @@
 //! What the other parts of the control role use to speak to the replicated log.
 
 use crate::applier::Outcome;
-use cherrystream_core::raft::asking::{PlaceView, QuorumWord};
+use cherrystream_core::raft::rejoin::{PlaceView, QuorumWord};
 use cherrystream_core::raft::{JoinDecision, ReplicaView};
 use cherrystream_core::state::{Applied, ControlState};
 use cherrystream_core::units::Timestamp;
--- a/crates/cherrystream-control/src/role.rs
+++ b/crates/cherrystream-control/src/role.rs
@@ -18,7 +18,7 @@
 use crate::release;
 use crate::rollouts::{self, Rollouts};
 use crate::rpc_server::{LedgerLimits, RpcServer};
-use cherrystream_core::raft::asking::Asking;
+use cherrystream_core::raft::rejoin::JoinTimer;
 use cherrystream_core::rollout::conductor::Limits;
 use cherrystream_net::interface::OrderInterface;
 use cherrystream_net::key::Secret;
@@ -176,11 +176,11 @@
 /// Asks the others for this replica's place whenever that is due, and gives it up once a quorum says
 /// that it is lost.
 async fn ask_to_be_heard(handle: Handle, request: JoinRequest, key: Option<Secret>) {
-    let mut asking = Asking::new(handle.clock.now());
+    let mut timer = JoinTimer::new(handle.clock.now());
     let mut turn = 0;
     loop {
         tokio::time::sleep(LOOK).await;
-        if !asking.is_due(handle.clock.now(), handle.place_view()) {
+        if !timer.is_due(handle.clock.now(), handle.place_view()) {
             continue;
         }
         let addresses = handle.known_addresses();
--- a/crates/cherrystream-core/src/raft/joining.rs
+++ b/crates/cherrystream-core/src/raft/joining.rs
@@ -4,9 +4,9 @@
 //! of a lost replica. It catches up as a learner first, and votes only once an entry names its disk
 //! (see `disks`), so admitting it does not change any quorum.
 
-use super::asking::QuorumWord;
 use super::disks::VACANT;
 use super::progress::Progress;
+use super::rejoin::QuorumWord;
 use super::{Raft, Role};
 use crate::units::Timestamp;
 use cherrystream_schema::messages::ReplicaAddress;
--- a/crates/cherrystream-core/src/raft/mod.rs
+++ b/crates/cherrystream-core/src/raft/mod.rs
@@ -5,7 +5,6 @@
 //! only if an entry of the log names its disk (see `disks`). A host that was repaired with a blank
 //! disk therefore never helps to elect a leader that lacks a committed entry.
 
-pub mod asking;
 mod bootstrap;
 mod disk_replacement;
 mod disks;
@@ -18,6 +17,7 @@
 mod placement;
 mod progress;
 mod ready;
+pub mod rejoin;
 
 pub use joining::{JoinDecision, JoiningReplica};
 pub use leader::ReplicaView;
--- a/crates/cherrystream-core/src/raft/asking.rs
+++ b/crates/cherrystream-core/src/raft/rejoin.rs
@@ -59,16 +59,16 @@
 
 /// Schedules the join requests of a replica.
 #[derive(Debug)]
-pub struct Asking {
+pub struct JoinTimer {
     /// Start of the process; time without contact is counted from here.
     started: Timestamp,
     last: Timestamp,
 }
 
-impl Asking {
+impl JoinTimer {
     /// Creates a schedule that starts at `now`.
-    pub fn new(now: Timestamp) -> Asking {
-        Asking { started: now, last: now }
+    pub fn new(now: Timestamp) -> JoinTimer {
+        JoinTimer { started: now, last: now }
     }
 
     /// Returns whether a join request is due, and if so records it as sent.
@@ -86,6 +86,6 @@
 
 /// Returns whether a replica may discard its data after a leader reported its member slot as lost.
 /// A member of a working quorum never may, because the report is then older than its own state.
-pub fn may_give_up(view: PlaceView) -> bool {
+pub fn may_discard_data(view: PlaceView) -> bool {
     !view.is_active_member()
 }
--- a/crates/cherrystream-core/tests/raft_bootstrap/mod.rs
+++ b/crates/cherrystream-core/tests/raft_bootstrap/mod.rs
@@ -3,7 +3,7 @@
 
 use super::raft_cluster::{Cluster, address, failure_domain};
 use arbtest::arbitrary::{Result as ArbResult, Unstructured};
-use cherrystream_core::raft::asking::{self, Asking, PlaceView};
+use cherrystream_core::raft::rejoin::{self, JoinTimer, PlaceView};
 use cherrystream_core::raft::{JoinDecision, JoiningReplica, Raft};
 use cherrystream_core::units::Timestamp;
 
@@ -40,7 +40,7 @@
 struct Hosts {
     cluster: Cluster,
     /// Request schedule of each process, with the number of the process.
-    timers: Vec<(Asking, u64)>,
+    timers: Vec<(JoinTimer, u64)>,
     requests: Vec<Request>,
     replies: Vec<Reply>,
     processes: u64,
@@ -51,14 +51,14 @@
 impl Hosts {
     fn new(hosts: usize) -> Hosts {
         let cluster = Cluster::of_hosts(SLOTS, BOOTSTRAP_REPLICAS, hosts);
-        let timers = (0..hosts).map(|_| (Asking::new(Timestamp::default()), 0)).collect();
+        let timers = (0..hosts).map(|_| (JoinTimer::new(Timestamp::default()), 0)).collect();
         let (requests, replies) = (Vec::new(), Vec::new());
         Hosts { cluster, timers, requests, replies, processes: 0, requests_sent: 0 }
     }
 
     fn start(&mut self, i: usize) {
         self.processes += 1;
-        self.timers[i] = (Asking::new(self.cluster.now), self.processes);
+        self.timers[i] = (JoinTimer::new(self.cluster.now), self.processes);
         self.cluster.start(i);
     }
 
@@ -128,7 +128,7 @@
                 self.cluster.replicas[i].without_slot = false;
                 self.start(i);
             }
-            JoinDecision::SlotLost if self.view(i).is_some_and(asking::may_give_up) => {
+            JoinDecision::SlotLost if self.view(i).is_some_and(rejoin::may_discard_data) => {
                 self.discard_log(i)
             }
             _ => {}
--- a/crates/cherrystream-core/tests/asking.rs
+++ b/crates/cherrystream-core/tests/rejoin.rs
@@ -1,6 +1,6 @@
 //! Guards the schedule of join requests, and the condition for discarding data.
 
-use cherrystream_core::raft::asking::{self, Asking, PlaceView, QuorumWord};
+use cherrystream_core::raft::rejoin::{self, JoinTimer, PlaceView, QuorumWord};
 use cherrystream_core::units::Timestamp;
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 
 /// Returns the milliseconds at which a replica with a constant view sends join requests.
 fn asks(view: PlaceView, until: u64) -> Vec<u64> {
-    let mut asking = Asking::new(Timestamp::default());
-    let due = |ms: &u64| asking.is_due(Timestamp::from_millis(*ms), view);
+    let mut timer = JoinTimer::new(Timestamp::default());
+    let due = |ms: &u64| timer.is_due(Timestamp::from_millis(*ms), view);
     (0..until).step_by(100).filter(due).collect()
 }
 
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_member_of_a_working_quorum_keeps_its_data() {
-    let may = |leads, votes, word| asking::may_give_up(PlaceView { leads, votes, word });
+    let may = |leads, votes, word| rejoin::may_discard_data(PlaceView { leads, votes, word });
     assert!(!may(true, true, heard(0)));
     assert!(!may(true, false, QuorumWord::NotYet));
     assert!(!may(false, true, heard(500)));
