--- a/crates/cherrystream-control/src/driver.rs
+++ b/crates/cherrystream-control/src/driver.rs
@@ -232,7 +232,7 @@
         let view = PlaceView {
             leads: self.raft.is_leader(),
             votes: self.raft.is_voter(),
-            word: self.raft.quorum_word(self.clock.now()),
+            word: self.raft.quorum_contact(self.clock.now()),
         };
         let gives_up = rejoin::may_discard_data(view);
         if !gives_up {
@@ -354,7 +354,7 @@
     /// Shows where the replicas are, and how old the word of a leader with a quorum is.
     fn publish_group(&mut self) {
         let now = self.clock.now();
-        let age = self.raft.quorum_word(now).age();
+        let age = self.raft.quorum_contact(now).age();
         let heard = age.map(|age| now.earlier(age).unwrap_or_default());
         *self.quorum_word.write() = heard;
         if self.applied.index >= self.raft.told_commit() {
--- a/crates/cherrystream-control/src/handle.rs
+++ b/crates/cherrystream-control/src/handle.rs
@@ -1,7 +1,7 @@
 //! What the other parts of the control role use to speak to the replicated log.
 
 use crate::applier::Outcome;
-use cherrystream_core::raft::rejoin::{PlaceView, QuorumWord};
+use cherrystream_core::raft::rejoin::{PlaceView, QuorumContact};
 use cherrystream_core::raft::{JoinDecision, ReplicaView};
 use cherrystream_core::state::{Applied, ControlState};
 use cherrystream_core::units::Timestamp;
@@ -124,20 +124,20 @@
     }
 
     /// Returns how old the word of a leader with a quorum is here.
-    pub fn quorum_word(&self) -> QuorumWord {
+    pub fn quorum_word(&self) -> QuorumContact {
         self.word_at(*self.quorum_word.read())
     }
 
     /// Returns how old the newest word of a leader with a quorum is that is applied here as a whole. A replica that
     /// lags behind the log has an old one, however lately it heard its leader.
-    pub fn state_word(&self) -> QuorumWord {
+    pub fn state_word(&self) -> QuorumContact {
         self.word_at(*self.caught_up.read())
     }
 
-    fn word_at(&self, heard: Option<Timestamp>) -> QuorumWord {
+    fn word_at(&self, heard: Option<Timestamp>) -> QuorumContact {
         match heard {
-            Some(at) => QuorumWord::Heard { age: self.clock.now().since(at) },
-            None => QuorumWord::NotYet,
+            Some(at) => QuorumContact::Heard { age: self.clock.now().since(at) },
+            None => QuorumContact::NotYet,
         }
     }
 
--- a/crates/cherrystream-core/src/raft/joining.rs
+++ b/crates/cherrystream-core/src/raft/joining.rs
@@ -6,7 +6,7 @@
 
 use super::disks::VACANT;
 use super::progress::Progress;
-use super::rejoin::QuorumWord;
+use super::rejoin::QuorumContact;
 use super::{Raft, Role};
 use crate::units::Timestamp;
 use cherrystream_schema::messages::ReplicaAddress;
@@ -220,12 +220,12 @@
     }
 
     /// Returns the last contact with a leader that has a quorum.
-    pub fn quorum_word(&self, now: Timestamp) -> QuorumWord {
+    pub fn quorum_contact(&self, now: Timestamp) -> QuorumContact {
         match &self.role {
-            Role::Leader(_) => QuorumWord::Heard { age: self.time_since_quorum(now) },
+            Role::Leader(_) => QuorumContact::Heard { age: self.time_since_quorum(now) },
             _ => match self.leader_last_seen {
-                Some(at) => QuorumWord::Heard { age: now.since(at) },
-                None => QuorumWord::NotYet,
+                Some(at) => QuorumContact::Heard { age: now.since(at) },
+                None => QuorumContact::NotYet,
             },
         }
     }
--- a/crates/cherrystream-core/src/raft/rejoin.rs
+++ b/crates/cherrystream-core/src/raft/rejoin.rs
@@ -18,7 +18,7 @@
 
 /// Last contact with a leader that has a quorum.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum QuorumWord {
+pub enum QuorumContact {
     /// No contact since this process started.
     #[default]
     NotYet,
@@ -29,12 +29,12 @@
     },
 }
 
-impl QuorumWord {
+impl QuorumContact {
     /// Returns the time since the last contact, if there was one.
     pub fn age(self) -> Option<Duration> {
         match self {
-            QuorumWord::NotYet => None,
-            QuorumWord::Heard { age } => Some(age),
+            QuorumContact::NotYet => None,
+            QuorumContact::Heard { age } => Some(age),
         }
     }
 }
@@ -47,7 +47,7 @@
     /// Whether its own log names its disk as a voting disk.
     pub votes: bool,
     /// Last contact with a quorum.
-    pub word: QuorumWord,
+    pub word: QuorumContact,
 }
 
 impl PlaceView {
--- a/crates/cherrystream-core/tests/raft_bootstrap/mod.rs
+++ b/crates/cherrystream-core/tests/raft_bootstrap/mod.rs
@@ -65,7 +65,7 @@
     fn view(&self, i: usize) -> Option<PlaceView> {
         let raft = self.cluster.replicas[i].raft.as_ref()?;
         let (leads, votes) = (raft.is_leader(), raft.is_voter());
-        Some(PlaceView { leads, votes, word: raft.quorum_word(self.cluster.now) })
+        Some(PlaceView { leads, votes, word: raft.quorum_contact(self.cluster.now) })
     }
 
     /// Advances the timers of a process.
--- a/crates/cherrystream-core/tests/raft_joining/mod.rs
+++ b/crates/cherrystream-core/tests/raft_joining/mod.rs
@@ -122,7 +122,7 @@
     cluster.replicas[third].raft = None;
     run(&mut cluster, 12);
     let raft = cluster.replicas[i].raft.as_ref().unwrap();
-    let age = raft.quorum_word(cluster.now).age().expect("no quorum contact");
+    let age = raft.quorum_contact(cluster.now).age().expect("no quorum contact");
     assert!(age >= Duration::from_millis(500));
 }
 
