--- a/crates/cherrystream-control/src/driver.rs
+++ b/crates/cherrystream-control/src/driver.rs
@@ -357,7 +357,7 @@
         let age = self.raft.quorum_contact(now).age();
         let heard = age.map(|age| now.earlier(age).unwrap_or_default());
         *self.quorum_word.write() = heard;
-        if self.applied.index >= self.raft.told_commit() {
+        if self.applied.index >= self.raft.known_commit() {
             *self.caught_up.write() = heard;
         }
         let addresses = self.raft.addresses(now);
--- a/crates/cherrystream-core/src/raft/mod.rs
+++ b/crates/cherrystream-core/src/raft/mod.rs
@@ -222,7 +222,7 @@
     }
 
     /// Returns the highest known commit index; the log here may not reach that far.
-    pub fn told_commit(&self) -> u64 {
+    pub fn known_commit(&self) -> u64 {
         self.known_commit.max(self.commit)
     }
 
