--- a/crates/cherrystream-control/src/operators.rs
+++ b/crates/cherrystream-control/src/operators.rs
@@ -262,7 +262,7 @@
             match_index: self.handle.standing.borrow().applied,
         }];
         for view in self.handle.views().await {
-            let state = if self.handle.since(view.heard) > REPLICA_SILENCE {
+            let state = if self.handle.since(view.last_seen) > REPLICA_SILENCE {
                 "unreachable"
             } else if view.votes {
                 "follower"
--- a/crates/cherrystream-core/src/raft/leader.rs
+++ b/crates/cherrystream-core/src/raft/leader.rs
@@ -47,7 +47,7 @@
     /// Whether its acknowledgements count.
     pub votes: bool,
     /// Time of its last message.
-    pub heard: Timestamp,
+    pub last_seen: Timestamp,
 }
 
 impl Raft {
@@ -150,7 +150,7 @@
             id: *id,
             match_index: p.match_index,
             votes: self.is_voting(*id, p),
-            heard: p.last_seen,
+            last_seen: p.last_seen,
         };
         state.progress.iter().map(view).collect()
     }
