--- a/crates/cherrystream-control/src/place.rs
+++ b/crates/cherrystream-control/src/place.rs
@@ -64,7 +64,7 @@
             replicas: self.addresses.keys().copied().collect(),
             addresses,
             failure_domain: if self.fixed { String::new() } else { self.failure_domain.clone() },
-            may_found: self.may_found,
+            may_bootstrap: self.may_found,
             election: if self.fixed { defaults.election } else { ELECTION },
             first_election: if self.fixed { defaults.first_election } else { FIRST_ELECTION },
             heartbeat: if self.fixed { defaults.heartbeat } else { HEARTBEAT },
--- a/crates/cherrystream-core/src/raft/bootstrap.rs
+++ b/crates/cherrystream-core/src/raft/bootstrap.rs
@@ -131,7 +131,8 @@
     /// Writes and sends the bootstrap entry once every disk is blank. Only the replica with the
     /// lowest number does so, so that two groups cannot be created at once.
     fn bootstrap_if_all_blank(&mut self, now: Timestamp) {
-        let lowest = self.opts.replicas.iter().min() == Some(&self.opts.id) && self.opts.may_found;
+        let lowest =
+            self.opts.replicas.iter().min() == Some(&self.opts.id) && self.opts.may_bootstrap;
         let others = self.other_bootstrap_replicas();
         let all = others.iter().all(|id| self.bootstrap.blank.contains_key(id));
         if !lowest || !all {
--- a/crates/cherrystream-core/src/raft/options.rs
+++ b/crates/cherrystream-core/src/raft/options.rs
@@ -17,7 +17,7 @@
     /// Failure domain of this host; empty where it does not affect the placement.
     pub failure_domain: String,
     /// Whether this replica may bootstrap a new group when all disks are blank.
-    pub may_found: bool,
+    pub may_bootstrap: bool,
     /// Time between heartbeats.
     pub heartbeat: Duration,
     /// Minimum time without a leader before an election; the maximum is twice as long.
@@ -39,7 +39,7 @@
             replicas: vec![1],
             addresses: BTreeMap::new(),
             failure_domain: String::new(),
-            may_found: true,
+            may_bootstrap: true,
             heartbeat: Duration::from_millis(100),
             election: Duration::from_millis(1_000),
             first_election: Duration::from_millis(1_000),
--- a/crates/cherrystream-core/tests/raft_cluster/mod.rs
+++ b/crates/cherrystream-core/tests/raft_cluster/mod.rs
@@ -169,7 +169,7 @@
             disk: disk.into(),
             replicas: (1..=slots as u64).collect(),
             addresses,
-            may_found: i < self.bootstrap_replicas,
+            may_bootstrap: i < self.bootstrap_replicas,
             failure_domain: failure_domain(i),
             seed: self.starts * 31 + id,
             started_ms: self.starts,
