--- a/crates/cherrystream-control/src/driver.rs
+++ b/crates/cherrystream-control/src/driver.rs
@@ -265,7 +265,7 @@
     }
 
     fn work(&mut self, ready: Ready) -> Result<()> {
-        self.peers.send(ready.before);
+        self.peers.send(ready.immediate_messages);
         if let Some(hard) = &ready.hard {
             self.hard = hard.clone();
         }
@@ -276,7 +276,7 @@
         if batch.hard.is_some() || !batch.entries.is_empty() {
             self.write(&batch)?;
         }
-        self.peers.send(ready.after);
+        self.peers.send(ready.messages_after_save);
         self.applier.apply(ready.committed);
         for read in ready.reads {
             if let Some(reply) = self.reads.remove(&read.ticket) {
--- a/crates/cherrystream-core/src/raft/election.rs
+++ b/crates/cherrystream-core/src/raft/election.rs
@@ -63,7 +63,7 @@
             let mut msg = self.message(id, body);
             // A pre-vote asks about the next term without entering it.
             msg.term += u64::from(pre);
-            self.ready.after.push(msg);
+            self.ready.messages_after_save.push(msg);
         }
         self.count_votes(now);
     }
@@ -155,7 +155,7 @@
                 if granted {
                     reply.term = msg.term;
                 }
-                self.ready.after.push(reply);
+                self.ready.messages_after_save.push(reply);
             }
             RaftBody::VoteReply { pre: true, granted, .. } => {
                 self.step_pre_vote_reply(now, msg, granted);
--- a/crates/cherrystream-core/src/raft/mod.rs
+++ b/crates/cherrystream-core/src/raft/mod.rs
@@ -266,12 +266,12 @@
 
     fn send_after_save(&mut self, to: u64, body: RaftBody) {
         let msg = self.message(to, body);
-        self.ready.after.push(msg);
+        self.ready.messages_after_save.push(msg);
     }
 
     fn send_now(&mut self, to: u64, body: RaftBody) {
         let msg = self.message(to, body);
-        self.ready.before.push(msg);
+        self.ready.immediate_messages.push(msg);
     }
 
     fn advance_commit(&mut self, to: u64) {
--- a/crates/cherrystream-core/src/raft/ready.rs
+++ b/crates/cherrystream-core/src/raft/ready.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ready {
     /// Messages that may be sent before anything is durable.
-    pub before: Vec<RaftMessage>,
+    pub immediate_messages: Vec<RaftMessage>,
     /// Snapshot from the leader that replaces the whole log; to be made durable.
     pub installed: Option<Snapshot>,
     /// Entries to make durable; the first may overwrite the tail of the log.
@@ -25,7 +25,7 @@
     /// Hard state to make durable, after the entries above.
     pub hard: Option<HardState>,
     /// Messages to send once all of the above is durable.
-    pub after: Vec<RaftMessage>,
+    pub messages_after_save: Vec<RaftMessage>,
     /// Entries to apply.
     pub committed: Vec<Entry>,
     /// Reads that may be served once their index is applied.
--- a/crates/cherrystream-core/tests/raft_cluster/mod.rs
+++ b/crates/cherrystream-core/tests/raft_cluster/mod.rs
@@ -215,7 +215,7 @@
             if ready.is_empty() {
                 return;
             }
-            self.in_flight.extend(ready.before);
+            self.in_flight.extend(ready.immediate_messages);
             if crash_after == Some(0) {
                 self.replicas[i].raft = None;
                 return;
@@ -234,7 +234,7 @@
                 replica.raft = None;
                 return;
             }
-            self.in_flight.extend(ready.after);
+            self.in_flight.extend(ready.messages_after_save);
             for entry in ready.committed {
                 self.apply(i, &entry);
             }
--- a/crates/cherrystream-core/tests/sessions.rs
+++ b/crates/cherrystream-core/tests/sessions.rs
@@ -401,8 +401,8 @@
                 if ready.is_empty() {
                     break;
                 }
-                messages.extend(ready.before);
-                messages.extend(ready.after);
+                messages.extend(ready.immediate_messages);
+                messages.extend(ready.messages_after_save);
                 raft.saved(now);
             }
         }
--- a/crates/cherrystream-core/tests/transfer/schedules.rs
+++ b/crates/cherrystream-core/tests/transfer/schedules.rs
@@ -121,7 +121,7 @@
                 if ready.is_empty() {
                     break;
                 }
-                for msg in ready.before.into_iter().chain(ready.after) {
+                for msg in ready.immediate_messages.into_iter().chain(ready.messages_after_save) {
                     self.ways[i].outbox.push(self.now, msg);
                 }
                 raft.saved(self.now);
