--- a/crates/cherrystream-control/src/driver.rs
+++ b/crates/cherrystream-control/src/driver.rs
@@ -220,7 +220,7 @@
             }
             Event::Applied(outcomes) => self.note_applied(outcomes),
             Event::HandOver(reply) => {
-                self.raft.transfer(now);
+                self.raft.transfer_leadership(now);
                 self.handing_over = Some((Instant::now(), reply));
             }
             Event::Stop | Event::Replaced => {}
--- a/crates/cherrystream-core/src/raft/leader.rs
+++ b/crates/cherrystream-core/src/raft/leader.rs
@@ -119,7 +119,7 @@
     }
 
     /// Transfers the leadership to a replica whose log is complete.
-    pub fn transfer(&mut self, now: Timestamp) {
+    pub fn transfer_leadership(&mut self, now: Timestamp) {
         let until = now + self.opts.election;
         if let Role::Leader(state) = &mut self.role {
             state.transfer_until = Some(until);
--- a/crates/cherrystream-core/tests/raft_random.rs
+++ b/crates/cherrystream-core/tests/raft_random.rs
@@ -72,7 +72,7 @@
             _ => {
                 let now = self.now;
                 if let Some(raft) = &mut self.replicas[i].raft {
-                    raft.transfer(now);
+                    raft.transfer_leadership(now);
                 }
                 self.process_ready(i, None);
             }
