--- a/crates/cherrystream-core/src/admission/mod.rs
+++ b/crates/cherrystream-core/src/admission/mod.rs
@@ -1,4 +1,5 @@
-//! Admission at the one door to a backend server: slots, a short queue, shedding by weight.
+//! Admission control in front of a backend server: concurrency slots, a short queue, load shedding
+//! by weight.
 
 mod fair;
 mod request;
@@ -14,33 +15,34 @@
 use crate::units::{Timestamp, micros};
 use crate::warmth::Warmth;
 use cherrystream_schema::messages::ServerState;
-use fair::{Shares, Turn};
+use fair::{FairShare, Usage};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Share of a new sample in the average time of an answer.
-const LATENCY_SHARE: f64 = 0.1;
-/// Shortest time after which a refused request is worth sending again.
-const RETRY_AFTER_AT_LEAST: Duration = Duration::from_millis(20);
-/// Share of its slots that a backend server gets at the beginning of its slow start.
-const COLD_SHARE: f64 = 0.25;
-/// Part of the slots below which room counts as plentiful: most other doors have some as well then.
-const ROOMY_BELOW: f64 = 0.5;
+/// Weight of a new sample in the moving average of the latency.
+const LATENCY_SAMPLE_WEIGHT: f64 = 0.1;
+/// Shortest retry delay of a refusal.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
+/// Share of the slots in use at the start of a slow start.
+const SLOW_START_INITIAL_SHARE: f64 = 0.25;
+/// Share of occupied slots up to which capacity is ample: a refused request then likely finds a
+/// free slot at another backend server.
+const AMPLE_CAPACITY_BELOW: f64 = 0.5;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct QueueKey {
     rank: Reverse<Rank>,
-    turn: Turn,
+    usage: Usage,
     ticket: Ticket,
 }
 
-/// What there is for a request.
+/// Availability of a slot for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Slot {
     Free,
-    /// The last one, which is left to other workspaces.
-    Kept,
+    /// The last slot, which is left to other workspaces.
+    LeftToOthers,
     Taken,
 }
 
@@ -50,28 +52,28 @@
     }
 }
 
-/// A request that waits.
+/// A request in the queue.
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
     deadline: Timestamp,
-    /// Whether its workspace has had more than its part.
-    beyond: bool,
+    /// Whether its workspace has used more than its fair share.
+    over_share: bool,
 }
 
-/// A request at the backend server.
+/// A request in flight at the backend server.
 #[derive(Clone, Copy, Debug)]
 struct Running {
     since: Timestamp,
     called: bool,
-    /// Whether its workspace has had more than its part.
-    beyond: bool,
-    /// Whether it has left for the backend server.
+    /// Whether its workspace has used more than its fair share.
+    over_share: bool,
+    /// Whether it was sent to the backend server.
     sent: bool,
-    /// Requests at the backend server when it began, itself included.
+    /// Requests in flight when it started, itself included.
     level: u32,
 }
 
-/// The door to one backend server.
+/// Admission control in front of one backend server.
 #[derive(Debug)]
 pub struct Admission {
     opts: Options,
@@ -79,20 +81,20 @@
     live_since: Timestamp,
     running: BTreeMap<Ticket, Running>,
     reserve: Reserve,
-    waiting: BTreeMap<Place, Waiting>,
-    shares: Shares,
+    waiting: BTreeMap<QueueKey, Waiting>,
+    fair_share: FairShare,
     latency: Duration,
     pace: Pace,
     warmth: Warmth,
     cold_pace: ColdPace,
-    /// What is learned of how much the backend server can take, in place of a share of its slots.
+    /// Adaptive concurrency limit; replaces the fixed share of the slots.
     room: Option<Room>,
     next_ticket: u64,
     sequence: u64,
 }
 
 impl Admission {
-    /// Creates the door to a backend server that is taken to be live and warm.
+    /// Creates admission control for a backend server that is considered live and warm.
     pub fn new(opts: Options) -> Admission {
         Admission {
             opts,
@@ -101,7 +103,7 @@
             running: BTreeMap::new(),
             reserve: Reserve::default(),
             waiting: BTreeMap::new(),
-            shares: Shares::default(),
+            fair_share: FairShare::default(),
             latency: Duration::from_millis(5),
             pace: Pace::default(),
             warmth: Warmth::default(),
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Changes the settings; requests already let in stay.
+    /// Replaces the settings; requests that were admitted stay.
     pub fn set_options(&mut self, opts: Options) {
         if let Some(room) = self.room.take_if(|room| room.slots() != opts.slots) {
             self.room = Some(room.with_slots(opts.slots, opts.share));
@@ -120,17 +122,19 @@
         self.opts = opts;
     }
 
-    /// Learns from answers how much the backend server can take, from what is known of it or of its predecessor.
+    /// Replaces the fixed share of the slots by an adaptive concurrency limit. `room` may hold what
+    /// was learned from an earlier instance.
     pub fn learn_room(&mut self, room: Room) {
         self.room = Some(room);
     }
 
-    /// Returns what is learned of how much the backend server can take.
+    /// Returns the adaptive concurrency limit, if there is one.
     pub fn room(&mut self) -> Option<&mut Room> {
         self.room.as_mut()
     }
 
-    /// Takes the time of a request that was answered, before it leaves. Work of a cold backend server says nothing of its room.
+    /// Records the service time of an answered request, before [`Admission::finish`]. Service times
+    /// of a cold backend server are ignored: they don't depend on concurrency alone.
     pub fn on_worked(&mut self, now: Timestamp, ticket: Ticket, work: &room::Work<'_>) {
         if self.is_cold(now) {
             return;
@@ -142,17 +146,17 @@
         room.on_answer(now, &answer);
     }
 
-    /// Changes what the backend server takes while it is cold.
+    /// Replaces the limits that apply while the backend server is cold.
     pub fn set_cold(&mut self, cold: Option<ColdLimits>) {
         self.opts.cold = cold;
     }
 
-    /// Decides on a request where nobody shares the door by workspace.
+    /// Decides on a request that belongs to no flow.
     pub fn arrive(&mut self, now: Timestamp, arrival: Arrival) -> (Verdict, Vec<Action>) {
         self.arrive_for(now, arrival, None)
     }
 
-    /// Decides on a request, of a workspace that shares the door with others where there are workspaces.
+    /// Decides on a request; `sharer` is the flow that it belongs to, if any.
     pub fn arrive_for(
         &mut self,
         now: Timestamp,
@@ -160,110 +164,116 @@
         sharer: Option<&Sharer>,
     ) -> (Verdict, Vec<Action>) {
         let mut actions = Vec::new();
-        if let Some(reason) = self.closed() {
+        if let Some(reason) = self.closed_reason() {
             return (Verdict::Refuse(self.refusal(reason)), actions);
         }
         let Some(remaining) = non_zero(arrival.deadline.since(now)) else {
             return (Verdict::Refuse(self.refusal(Reason::DeadlineBeforeStart)), actions);
         };
-        // Calls by running requests belong to no workspace.
+        // Nested calls belong to no flow.
         let sharer = sharer.filter(|_| !arrival.called);
         let rank = arrival.rank(now);
-        let beyond = sharer.is_some_and(|sharer| self.shares.is_beyond(now, sharer));
-        let turn = sharer.map_or(Turn::default(), |sharer| self.shares.on_asked(now, sharer));
-        let place = Place { rank: Reverse(rank), turn, ticket: Ticket(self.next_ticket + 1) };
-        if arrival.selective && self.is_busy(now, &arrival, place, beyond) {
-            self.note_short(now);
-            return (Verdict::Refuse(self.turned_down(now, place, beyond)), actions);
+        let over_share = sharer.is_some_and(|sharer| self.fair_share.is_over_share(now, sharer));
+        let usage =
+            sharer.map_or(Usage::default(), |sharer| self.fair_share.on_request(now, sharer));
+        let key = QueueKey { rank: Reverse(rank), usage, ticket: Ticket(self.next_ticket + 1) };
+        if arrival.selective && self.is_busy(now, &arrival, key, over_share) {
+            self.note_limit_reached(now);
+            return (Verdict::Refuse(self.busy_refusal(now, key, over_share)), actions);
         }
         self.next_ticket += 1;
-        let ticket = place.ticket;
-        if self.is_next(place) && self.has_slot(now, rank.called, beyond) {
-            self.note_call(now, rank.called);
+        let ticket = key.ticket;
+        if self.is_next(key) && self.has_slot(now, rank.called, over_share) {
+            self.add_nested_call(now, rank.called);
             self.charge(now, &arrival, ticket, sharer);
-            self.start(now, ticket, rank.called, beyond);
+            self.start(now, ticket, rank.called, over_share);
             return (Verdict::Run(ticket), actions);
         }
-        self.note_short(now);
+        self.note_limit_reached(now);
         if let Some(refusal) = self.cold_refusal(now, &arrival, rank, remaining) {
             return (Verdict::Refuse(refusal), actions);
         }
-        // A call's parent is wasted without it, so it waits whatever the odds.
-        if !rank.called && self.expected_wait(place) > remaining {
-            let reason = self.why_too_long(place, remaining);
+        // A refused nested call wastes the work of its parent, so it waits regardless of the
+        // estimate.
+        if !rank.called && self.expected_wait(key) > remaining {
+            let reason = self.long_wait_reason(key, remaining);
             return (Verdict::Refuse(self.refusal(reason)), actions);
         }
         if !rank.called && self.waiting.len() >= self.opts.queue as usize {
-            match self.shed_below(now, place) {
-                // Only requests that go after this one are shed, and calls go before all others.
+            match self.shed_last(now, key) {
+                // Only requests with a lower priority are shed, and nested calls have the highest.
                 Some(shed) => actions.push(shed),
                 None => {
                     return (Verdict::Refuse(self.refusal(Reason::QueueFull)), actions);
                 }
             }
         }
-        self.note_call(now, rank.called);
+        self.add_nested_call(now, rank.called);
         self.charge(now, &arrival, ticket, sharer);
-        self.waiting.insert(place, Waiting { deadline: arrival.deadline, beyond });
+        self.waiting.insert(key, Waiting { deadline: arrival.deadline, over_share });
         (Verdict::Wait(ticket), actions)
     }
 
-    /// Notes that a request left the backend server, after an answer or without one.
+    /// Records that a request left the backend server, with or without an answer.
     pub fn finish(&mut self, now: Timestamp, ticket: Ticket, answered: bool) -> Vec<Action> {
         let ended = self.running.remove(&ticket);
         if let Some(running) = ended {
-            self.forget_call(now, running.called);
+            self.remove_nested_call(now, running.called);
         }
         if let Some(running) = ended
             && answered
         {
             let sample = now.since(running.since).as_secs_f64();
             let mean = self.latency.as_secs_f64();
-            self.latency = Duration::from_secs_f64(mean + LATENCY_SHARE * (sample - mean));
+            self.latency = Duration::from_secs_f64(mean + LATENCY_SAMPLE_WEIGHT * (sample - mean));
         }
-        self.fill(now)
+        self.start_waiting(now)
     }
 
-    /// Takes the backend server's word on its pace.
+    /// Records the slowness that the backend server reported.
     pub fn on_pace(&mut self, now: Timestamp, slowness: u32) {
-        self.pace.on_word(now, slowness);
+        self.pace.on_report(now, slowness);
     }
 
-    /// Returns whether the backend server should be asked for its pace.
+    /// Returns whether the backend server should be probed for its slowness.
     pub fn wants_pace(&self, now: Timestamp) -> bool {
-        self.pace.wants_word(now)
+        self.pace.needs_probe(now)
     }
 
-    /// Returns whether a request should wait for the backend server's word on its pace before it is decided on. Only where
-    /// room is plentiful: where slots are scarce, words ride on many answers, and what is turned down finds no better place.
+    /// Returns whether a request should wait for a new slowness report before it is decided on.
+    /// Only when free slots are ample: when they are scarce, many answers carry reports, and a
+    /// refused request finds no better backend server.
     pub fn wants_pace_first(&self, now: Timestamp, arrival: &Arrival) -> bool {
         let within = arrival.good_until.map(|until| until.since(now));
         let taken = (self.running.len() + self.waiting.len()) as f64;
-        let is_roomy = taken <= ROOMY_BELOW * f64::from(self.slots_now(now));
-        arrival.selective && is_roomy && self.pace.decides(now, arrival.usual, within)
+        let has_ample_capacity = taken <= AMPLE_CAPACITY_BELOW * f64::from(self.slots_now(now));
+        arrival.selective
+            && has_ample_capacity
+            && self.pace.needs_report_first(now, arrival.usual, within)
     }
 
-    /// Notes that the backend server gave no word on its pace while a request waited for it.
+    /// Records that a slowness probe timed out while a request waited for it.
     pub fn on_no_pace(&mut self, now: Timestamp) {
-        self.pace.on_unanswered(now);
+        self.pace.on_probe_timeout(now);
     }
 
-    /// Returns what is known of the warmth of the backend server.
+    /// Returns the warmth of the backend server.
     pub fn warmth(&mut self) -> &mut Warmth {
         &mut self.warmth
     }
 
-    /// Returns whether the backend server is given no more than a cold one takes.
+    /// Returns whether the limits of a cold backend server apply.
     pub fn is_cold(&self, now: Timestamp) -> bool {
         self.cold_limits(now).is_some()
     }
 
-    /// Returns whether the health endpoint should be asked how warm the backend server is.
+    /// Returns whether the health endpoint should be probed for the warmth of the backend server,
+    /// and records the probe if so.
     pub fn wants_warmth(&mut self, now: Timestamp) -> bool {
-        self.opts.cold.is_some() && self.warmth.asks(now)
+        self.opts.cold.is_some() && self.warmth.start_probe(now)
     }
 
-    /// Notes that a request that was let in leaves for the backend server.
+    /// Records that an admitted request is sent to the backend server.
     pub fn on_sent(&mut self, now: Timestamp, ticket: Ticket) {
         if let Some(running) = self.running.get_mut(&ticket)
             && !running.sent
@@ -273,12 +283,12 @@
         }
     }
 
-    /// Notes that the backend server got nothing before this process knew it.
+    /// Records that the instance is new: no earlier process sent requests to it.
     pub fn on_new(&mut self) {
         self.cold_pace.on_new();
     }
 
-    /// Notes that the health endpoint is asked: a cold backend server counts that as a request.
+    /// Records a probe of the health endpoint; a cold backend server counts it as a request.
     pub fn on_asked(&mut self, now: Timestamp) {
         self.cold_pace.on_sent(now);
     }
@@ -287,25 +297,26 @@
         self.opts.cold.filter(|_| self.warmth.is_cold(now))
     }
 
-    fn has_cold_room(&mut self, now: Timestamp) -> bool {
+    fn cold_limit_allows(&mut self, now: Timestamp) -> bool {
         let Some(limits) = self.cold_limits(now) else { return true };
-        self.cold_pace.has_room(now, &limits, self.under_way())
+        self.cold_pace.allows(now, &limits, self.unsent())
     }
 
-    /// Returns the number of requests that were let in and have not left yet.
-    fn under_way(&self) -> usize {
+    /// Returns the number of admitted requests that are not sent yet.
+    fn unsent(&self) -> usize {
         self.running.values().filter(|running| !running.sent).count()
     }
 
-    /// Returns the time until a request of a rank has its turn at a cold backend server.
+    /// Returns the time until a cold backend server accepts a request of `rank`, or `None` if it is
+    /// warm.
     fn cold_wait(&mut self, now: Timestamp, rank: Rank) -> Option<Duration> {
         let limits = self.cold_limits(now)?;
-        let ahead = self.waiting.keys().filter(|place| place.rank.0 >= rank).count();
-        Some(self.cold_pace.wait(now, &limits, ahead + self.under_way()))
+        let ahead = self.waiting.keys().filter(|key| key.rank.0 >= rank).count();
+        Some(self.cold_pace.wait(now, &limits, ahead + self.unsent()))
     }
 
-    /// Refuses at once what a cold backend server cannot serve in time: a request within the time that it may wait,
-    /// and a call while it is of use to the request that waits for it.
+    /// Refuses a request that a cold backend server cannot start in time: within its deadline, and
+    /// for a nested call also while the answer is useful to its parent.
     fn cold_refusal(
         &mut self,
         now: Timestamp,
@@ -314,32 +325,37 @@
         remaining: Duration,
     ) -> Option<Refusal> {
         let wait = self.cold_wait(now, rank)?;
-        let good_for = arrival.good_until.map_or(remaining, |until| until.since(now));
-        let patience = if rank.called { good_for.min(remaining) } else { remaining };
-        (wait > patience).then_some(Refusal { reason: Reason::ServerCold, retry_after: wait })
+        let useful_for = arrival.good_until.map_or(remaining, |until| until.since(now));
+        let max_wait = if rank.called { useful_for.min(remaining) } else { remaining };
+        (wait > max_wait).then_some(Refusal { reason: Reason::ServerCold, retry_after: wait })
     }
 
-    /// Returns the slowness of the backend server, in hundredths of the usual time.
+    /// Returns the slowness of the backend server, in hundredths of the normal service time.
     pub fn slowness(&self, now: Timestamp) -> u32 {
         self.pace.slowness(now)
     }
 
-    /// Returns whether a request would be served less well than elsewhere: work is too slow for it, or
-    /// so many slots are taken that it slows down.
-    fn is_busy(&mut self, now: Timestamp, arrival: &Arrival, place: Place, beyond: bool) -> bool {
+    /// Returns whether a request is likely served better elsewhere: the backend server is too slow
+    /// for it, or no slot is free.
+    fn is_busy(
+        &mut self,
+        now: Timestamp,
+        arrival: &Arrival,
+        key: QueueKey,
+        over_share: bool,
+    ) -> bool {
         let within = arrival.good_until.map(|until| until.since(now));
         if self.pace.is_too_slow(now, arrival.usual, within) {
-            self.pace.on_turned_down();
+            self.pace.on_refused();
             return true;
         }
-        !self.is_next(place) || !self.has_slot(now, arrival.called, beyond)
+        !self.is_next(key) || !self.has_slot(now, arrival.called, over_share)
     }
 
-    /// Returns the refusal of a request that has others to go to. One that only makes way says nothing of the room for
-    /// others of its kind.
-    fn turned_down(&mut self, now: Timestamp, place: Place, beyond: bool) -> Refusal {
-        let rank = place.rank.0;
-        if self.is_next(place) && self.slot(now, rank.called, beyond) == Slot::Kept {
+    /// Returns the refusal of a request that can go to other backend servers.
+    fn busy_refusal(&mut self, now: Timestamp, key: QueueKey, over_share: bool) -> Refusal {
+        let rank = key.rank.0;
+        if self.is_next(key) && self.slot(now, rank.called, over_share) == Slot::LeftToOthers {
             return Refusal::making_way();
         }
         let refusal = self.refusal(Reason::BusyNow);
@@ -347,50 +363,47 @@
         Refusal { retry_after: refusal.retry_after.max(cold_wait), ..refusal }
     }
 
-    /// Notes that a waiting request's caller has gone.
+    /// Removes a queued request whose caller disconnected.
     pub fn leave_queue(&mut self, now: Timestamp, ticket: Ticket) {
-        let found = self.waiting.keys().find(|place| place.ticket == ticket).copied();
-        if let Some(place) = found {
-            self.give_up(now, place);
+        let found = self.waiting.keys().find(|key| key.ticket == ticket).copied();
+        if let Some(key) = found {
+            self.remove_unserved(now, key);
         }
     }
 
-    /// Takes the state of the backend server; waiting requests are refused when it takes no work.
+    /// Records the state of the backend server. Queued requests are refused when it accepts none.
     pub fn set_state(&mut self, now: Timestamp, state: ServerState) -> Vec<Action> {
         let was = std::mem::replace(&mut self.state, state);
         if state == ServerState::Live && was != ServerState::Live {
             self.live_since = now;
         }
-        match self.closed() {
+        match self.closed_reason() {
             Some(reason) => self.refuse_waiting(now, reason),
-            None => self.fill(now),
+            None => self.start_waiting(now),
         }
     }
 
-    /// Lets time pass: more slots during a slow start, and deadlines of those that wait.
+    /// Advances the time: refuses queued requests whose deadline expired, and starts those for
+    /// which the slow start has added slots.
     pub fn tick(&mut self, now: Timestamp) -> Vec<Action> {
-        let late: Vec<Place> = self
-            .waiting
-            .iter()
-            .filter(|(_, w)| w.deadline <= now)
-            .map(|(place, _)| *place)
-            .collect();
+        let expired: Vec<QueueKey> =
+            self.waiting.iter().filter(|(_, w)| w.deadline <= now).map(|(key, _)| *key).collect();
         let refusal = self.refusal(Reason::DeadlineBeforeStart);
         let mut actions = Vec::new();
-        for place in late {
-            self.give_up(now, place);
-            actions.push(Action::Refuse(place.ticket, refusal));
+        for key in expired {
+            self.remove_unserved(now, key);
+            actions.push(Action::Refuse(key.ticket, refusal));
         }
-        actions.extend(self.fill(now));
+        actions.extend(self.start_waiting(now));
         actions
     }
 
-    /// Returns the number of requests at work at the backend server.
+    /// Returns the number of requests in flight at the backend server.
     pub fn at_work(&self) -> u32 {
         self.running.len() as u32
     }
 
-    /// Returns the numbers that ride on each answer.
+    /// Returns the load report that is attached to each answer.
     pub fn report(
         &mut self,
         now: Timestamp,
@@ -412,12 +425,12 @@
         }
     }
 
-    /// Returns the number of requests at the backend server.
+    /// Returns the number of requests in flight at the backend server.
     pub fn in_flight(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of queued requests.
     pub fn queued(&self) -> usize {
         self.waiting.len()
     }
@@ -427,7 +440,7 @@
         self.state
     }
 
-    fn closed(&self) -> Option<Reason> {
+    fn closed_reason(&self) -> Option<Reason> {
         match self.state {
             ServerState::Live => None,
             ServerState::Draining => Some(Reason::Draining),
@@ -438,11 +451,11 @@
     fn slots_now(&self, now: Timestamp) -> u32 {
         let warm = now.since(self.live_since).as_secs_f64();
         let ramp = self.opts.ramp.as_secs_f64();
-        // The ramp is only for a backend server that was seen to start.
+        // Slow start applies only to a backend server whose start was observed.
         if self.live_since == Timestamp::default() || warm >= ramp {
             return self.slots_used();
         }
-        let share = COLD_SHARE + (1.0 - COLD_SHARE) * warm / ramp;
+        let share = SLOW_START_INITIAL_SHARE + (1.0 - SLOW_START_INITIAL_SHARE) * warm / ramp;
         ((f64::from(self.slots_used()) * share) as u32).max(1)
     }
 
@@ -453,14 +466,14 @@
         ((f64::from(self.opts.slots) * self.opts.share) as u32).max(1)
     }
 
-    /// Returns whether a request gets a slot now.
-    fn has_slot(&mut self, now: Timestamp, called: bool, beyond: bool) -> bool {
-        self.slot(now, called, beyond) == Slot::Free
+    /// Returns whether a slot is free for a request.
+    fn has_slot(&mut self, now: Timestamp, called: bool, over_share: bool) -> bool {
+        self.slot(now, called, over_share) == Slot::Free
     }
 
-    /// Returns what there is for a request, which may be a call by a running one.
-    fn slot(&mut self, now: Timestamp, called: bool, beyond: bool) -> Slot {
-        if !self.has_cold_room(now) {
+    /// Returns the availability of a slot for a request, which may be a nested call.
+    fn slot(&mut self, now: Timestamp, called: bool, over_share: bool) -> Slot {
+        if !self.cold_limit_allows(now) {
             return Slot::Taken;
         }
         let slots = self.slots_now(now);
@@ -468,60 +481,60 @@
             return Slot::free_if(self.running.len() < slots as usize);
         }
         let calls = self.running.values().filter(|r| r.called).count();
-        let kept_free = self.reserve.kept_free(now, slots, calls as u32);
-        let room = slots.saturating_sub(kept_free) as usize;
-        match Slot::free_if(self.running.len() < room) {
-            Slot::Free if self.makes_way(beyond, room) => Slot::Kept,
+        let reserved = self.reserve.reserved(now, slots, calls as u32);
+        let limit = slots.saturating_sub(reserved) as usize;
+        match Slot::free_if(self.running.len() < limit) {
+            Slot::Free if self.must_yield(over_share, limit) => Slot::LeftToOthers,
             slot => slot,
         }
     }
 
-    /// Returns whether no other request waits that goes before one. Those that make way hold nobody up: one that could
-    /// start would have been started.
-    fn is_next(&self, place: Place) -> bool {
-        let mut waiting = self.waiting.iter().filter(|(_, waiting)| !waiting.beyond);
-        waiting.next().is_none_or(|(first, _)| place < *first)
+    /// Returns whether no queued request goes before `key`. Requests over their share are skipped:
+    /// one of them still waits only because it yields the slot.
+    fn is_next(&self, key: QueueKey) -> bool {
+        let mut waiting = self.waiting.iter().filter(|(_, waiting)| !waiting.over_share);
+        waiting.next().is_none_or(|(first, _)| key < *first)
     }
 
-    /// Notes that a request found no slot, where that is for want of room.
-    fn note_short(&mut self, now: Timestamp) {
+    /// Records that a request found no slot, if the concurrency limit is the reason.
+    fn note_limit_reached(&mut self, now: Timestamp) {
         let is_full = self.running.len() >= self.slots_used() as usize;
         if let Some(room) = self.room.as_mut().filter(|_| is_full) {
-            room.on_short(now);
+            room.on_limit_reached(now);
         }
     }
 
-    fn note_call(&mut self, now: Timestamp, called: bool) {
+    fn add_nested_call(&mut self, now: Timestamp, called: bool) {
         if called {
-            self.reserve.on_offer(now);
+            self.reserve.on_arrival(now);
         }
     }
 
-    fn forget_call(&mut self, now: Timestamp, called: bool) {
+    fn remove_nested_call(&mut self, now: Timestamp, called: bool) {
         if called {
             self.reserve.on_end(now);
         }
     }
 
-    /// Notes that a request that waited is not served.
-    fn forget_waiting(&mut self, now: Timestamp, place: Place) {
-        self.forget_call(now, place.rank.0.called);
-        self.shares.on_unserved(now, place.ticket);
+    /// Releases what was accounted for a queued request that is not served.
+    fn release_unserved(&mut self, now: Timestamp, key: QueueKey) {
+        self.remove_nested_call(now, key.rank.0.called);
+        self.fair_share.on_unserved(now, key.ticket);
     }
 
-    /// Takes a request out of the queue that has waited in vain.
-    fn give_up(&mut self, now: Timestamp, place: Place) {
-        self.waiting.remove(&place);
-        self.forget_waiting(now, place);
+    /// Removes a request from the queue that is not served.
+    fn remove_unserved(&mut self, now: Timestamp, key: QueueKey) {
+        self.waiting.remove(&key);
+        self.release_unserved(now, key);
     }
 
-    fn start(&mut self, now: Timestamp, ticket: Ticket, called: bool, beyond: bool) {
-        self.shares.on_started(ticket);
+    fn start(&mut self, now: Timestamp, ticket: Ticket, called: bool, over_share: bool) {
+        self.fair_share.on_started(ticket);
         let level = self.running.len() as u32 + 1;
-        self.running.insert(ticket, Running { since: now, called, beyond, sent: false, level });
+        self.running.insert(ticket, Running { since: now, called, over_share, sent: false, level });
     }
 
-    /// Charges a workspace for a request that is let in or waits.
+    /// Charges a flow for a request that is admitted or queued.
     fn charge(
         &mut self,
         now: Timestamp,
@@ -531,51 +544,52 @@
     ) {
         let work = arrival.usual.unwrap_or(self.latency);
         if let Some(sharer) = sharer {
-            self.shares.on_entered(now, ticket, sharer, work);
+            self.fair_share.on_admitted(now, ticket, sharer, work);
         }
     }
 
-    /// Returns whether a request of a workspace that has had more than its part leaves the last slot to others. One such
-    /// runs at any time, so that none is starved.
-    fn makes_way(&self, beyond: bool, room: usize) -> bool {
-        let is_last = self.running.len() + 1 >= room;
-        beyond && is_last && self.running.values().any(|running| running.beyond)
+    /// Returns whether a request of a workspace over its share leaves the last slot to others. One
+    /// such request may run at any time, so that none is starved.
+    fn must_yield(&self, over_share: bool, limit: usize) -> bool {
+        let is_last = self.running.len() + 1 >= limit;
+        over_share && is_last && self.running.values().any(|running| running.over_share)
     }
 
-    /// Returns why a request cannot wait for its turn: for workspaces that have had less, or for the length of the queue.
-    fn why_too_long(&self, place: Place, remaining: Duration) -> Reason {
-        let has_had_less = |other: &Place| other.rank == place.rank && other.turn < place.turn;
-        let others = self.waiting.range(..place).filter(|(other, _)| !has_had_less(other));
-        match self.wait_behind(others.count()) > remaining {
+    /// Returns why the queueing delay is too long: because of flows that have used less, or because
+    /// of the length of the queue.
+    fn long_wait_reason(&self, key: QueueKey, remaining: Duration) -> Reason {
+        let has_used_less = |other: &QueueKey| other.rank == key.rank && other.usage < key.usage;
+        let others = self.waiting.range(..key).filter(|(other, _)| !has_used_less(other));
+        match self.wait_after(others.count()) > remaining {
             true => Reason::QueueTooLong,
             false => Reason::ShareUsed,
         }
     }
 
-    /// Returns the time until a request has its turn.
-    fn expected_wait(&self, place: Place) -> Duration {
-        self.wait_behind(self.waiting.range(..place).count())
+    /// Returns the expected queueing delay of a request.
+    fn expected_wait(&self, key: QueueKey) -> Duration {
+        self.wait_after(self.waiting.range(..key).count())
     }
 
-    fn wait_behind(&self, ahead: usize) -> Duration {
+    fn wait_after(&self, ahead: usize) -> Duration {
         self.latency.mul_f64((ahead + 1) as f64 / f64::from(self.slots_used()))
     }
 
     fn refusal(&self, reason: Reason) -> Refusal {
-        let retry_after = self.wait_behind(self.waiting.len()).max(RETRY_AFTER_AT_LEAST);
+        let retry_after = self.wait_after(self.waiting.len()).max(MIN_RETRY_AFTER);
         Refusal { reason, retry_after }
     }
 
-    /// Takes the last request out of the queue, if it is of lower rank than one that comes, or of a workspace that has
-    /// had more.
-    fn shed_below(&mut self, now: Timestamp, place: Place) -> Option<Action> {
+    /// Removes the last request from the queue if it has a lower rank than a new one, or the same
+    /// rank and a flow with more usage.
+    fn shed_last(&mut self, now: Timestamp, key: QueueKey) -> Option<Action> {
         let last = *self.waiting.keys().next_back()?;
-        if (last.rank, last.turn) <= (place.rank, place.turn) {
+        if (last.rank, last.usage) <= (key.rank, key.usage) {
             return None;
         }
         self.waiting.remove(&last);
-        self.shares.on_unserved(now, last.ticket);
-        let reason = match last.rank == place.rank {
+        self.fair_share.on_unserved(now, last.ticket);
+        let reason = match last.rank == key.rank {
             true => Reason::ShareUsed,
             false => Reason::ShedByWeight,
         };
@@ -585,35 +599,35 @@
     fn refuse_waiting(&mut self, now: Timestamp, reason: Reason) -> Vec<Action> {
         let refusal = self.refusal(reason);
         let waiting = std::mem::take(&mut self.waiting);
-        for place in waiting.keys() {
-            self.forget_waiting(now, *place);
+        for key in waiting.keys() {
+            self.release_unserved(now, *key);
         }
-        waiting.into_keys().map(|place| Action::Refuse(place.ticket, refusal)).collect()
+        waiting.into_keys().map(|key| Action::Refuse(key.ticket, refusal)).collect()
     }
 
-    /// Returns the first request that may start. One that makes way leaves its turn to those behind it.
-    fn next_to_start(&mut self, now: Timestamp) -> Option<(Place, Waiting)> {
+    /// Returns the first queued request that may start. One that yields its slot is skipped.
+    fn next_to_start(&mut self, now: Timestamp) -> Option<(QueueKey, Waiting)> {
         let waiting: Vec<_> = self.waiting.iter().map(|(p, w)| (*p, *w)).collect();
-        let may_start = |(place, waiting): &(Place, Waiting)| {
-            self.has_slot(now, place.rank.0.called, waiting.beyond)
+        let may_start = |(key, waiting): &(QueueKey, Waiting)| {
+            self.has_slot(now, key.rank.0.called, waiting.over_share)
         };
         waiting.into_iter().find(may_start)
     }
 
-    fn fill(&mut self, now: Timestamp) -> Vec<Action> {
+    fn start_waiting(&mut self, now: Timestamp) -> Vec<Action> {
         let mut actions = Vec::new();
-        while self.closed().is_none()
-            && let Some((place, waiting)) = self.next_to_start(now)
+        while self.closed_reason().is_none()
+            && let Some((key, waiting)) = self.next_to_start(now)
         {
             if waiting.deadline <= now {
-                self.give_up(now, place);
+                self.remove_unserved(now, key);
                 let refusal = self.refusal(Reason::DeadlineBeforeStart);
-                actions.push(Action::Refuse(place.ticket, refusal));
+                actions.push(Action::Refuse(key.ticket, refusal));
                 continue;
             }
-            self.waiting.remove(&place);
-            self.start(now, place.ticket, place.rank.0.called, waiting.beyond);
-            actions.push(Action::Start(place.ticket));
+            self.waiting.remove(&key);
+            self.start(now, key.ticket, key.rank.0.called, waiting.over_share);
+            actions.push(Action::Start(key.ticket));
         }
         actions
     }
--- a/crates/cherrystream-core/src/admission/request.rs
+++ b/crates/cherrystream-core/src/admission/request.rs
@@ -1,26 +1,26 @@
-//! What a door is asked, and what it decides.
+//! Requests, settings and decisions of admission control.
 
 use crate::cold_pace::ColdLimits;
 use crate::reasons::Reason;
 use crate::units::Timestamp;
 use std::time::Duration;
 
-/// Names a request at the door.
+/// Identifies a request at admission control.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// Settings of a door.
+/// Settings of admission control.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// Requests that the backend server works on at once.
+    /// Requests that the backend server serves concurrently.
     pub slots: u32,
-    /// Requests that may wait.
+    /// Capacity of the queue.
     pub queue: u32,
-    /// Time over which a backend server that starts gets its full slots.
+    /// Duration of the slow start, over which a starting backend server gets its full slots.
     pub ramp: Duration,
-    /// Share of the slots that are used: some backend servers slow down when nearly full.
+    /// Share of the slots that is used: some backend servers slow down when nearly full.
     pub share: f64,
-    /// What the backend server takes while it is cold, where that is known to matter.
+    /// Limits while the backend server is cold; `None` where cold starts don't matter.
     pub cold: Option<ColdLimits>,
 }
 
@@ -30,38 +30,38 @@
     }
 }
 
-/// Which of two requests goes first: the fields count in their order.
+/// Priority of a request, compared field by field in their order; the greater goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// Whether a running request waits for it, and is wasted without it.
+    /// Whether it is a nested call, whose parent is wasted without it.
     pub called: bool,
     /// Whether its answer can still be in time.
     pub in_time: bool,
-    /// Weight when load is shed; the lowest goes first.
+    /// Weight in load shedding; the lowest is shed first.
     pub weight: u32,
 }
 
-/// A request that asks to be let in.
+/// A request to be admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// Whether it is a call by a running request.
+    /// Whether it is a nested call.
     pub called: bool,
-    /// Weight when load is shed; the lowest goes first.
+    /// Weight in load shedding; the lowest is shed first.
     pub weight: u32,
-    /// When the call ends.
+    /// Time until which the request may wait.
     pub deadline: Timestamp,
-    /// Whether the request has other backend servers to go to: it is let in only where it is
-    /// served well.
+    /// Whether the request can go to other backend servers: it is admitted only if it is served
+    /// well here.
     pub selective: bool,
-    /// Until when an answer is in time, where that is known.
+    /// Time until which an answer is useful, if it has a limit.
     pub good_until: Option<Timestamp>,
-    /// How long the backend server usually works on such a request, where that is known.
+    /// Typical service time of such a request, if there are enough samples.
     pub usual: Option<Duration>,
 }
 
 impl Arrival {
-    /// Returns its rank at a time. A request of which it is not known when it is in time counts as one
-    /// that can be.
+    /// Returns the rank at time `now`. A request without `good_until` is treated as one that can be
+    /// in time.
     pub fn rank(&self, now: Timestamp) -> Rank {
         let usual = self.usual.unwrap_or_default();
         let in_time = self.good_until.is_none_or(|until| now + usual < until);
@@ -69,29 +69,29 @@
     }
 }
 
-/// What becomes of a request.
+/// Decision on a new request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// It goes to the backend server now.
+    /// The request is sent to the backend server now.
     Run(Ticket),
-    /// It waits; an [`Action`] follows.
+    /// The request is queued; an [`Action`] follows.
     Wait(Ticket),
-    /// It is not run.
+    /// The request is not run.
     Refuse(Refusal),
 }
 
-/// A refusal: the request is not run.
+/// Refusal of a request that is not run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// When it is worth sending again.
+    /// Time after which a retry may succeed.
     pub retry_after: Duration,
 }
 
 impl Refusal {
-    /// Returns the refusal of a request that leaves the last slot to other workspaces. It names no time: others of
-    /// its kind may be let in at once.
+    /// Returns the refusal of a request that leaves the last slot to other workspaces. Its retry
+    /// delay is zero: other requests of the kind may be admitted at once.
     pub fn making_way() -> Refusal {
         Refusal { reason: Reason::BusyNow, retry_after: Duration::ZERO }
     }
@@ -102,11 +102,11 @@
     }
 }
 
-/// What becomes of a request that waited.
+/// Outcome of a queued request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// It goes to the backend server now.
+    /// The request is sent to the backend server now.
     Start(Ticket),
-    /// It is not run.
+    /// The request is not run.
     Refuse(Ticket, Refusal),
 }
--- a/crates/cherrystream-core/src/cold_pace.rs
+++ b/crates/cherrystream-core/src/cold_pace.rs
@@ -1,85 +1,86 @@
-//! How many requests a cold backend server is given: never more than its bound in any second.
+//! Rate limit of a cold backend server: at most a fixed number of requests in any second.
 //!
-//! A door counts what it sent, and gives the server as much as it may have as soon as requests come. Against an even pace
-//! that was worth 0.02 of a day with a loss of power (median of six pairs of plays; -0.003 to +0.065). A process that has just
-//! started cannot count what the one before it sent, so it sends nothing to a cold backend server until its count is
-//! whole, unless that server is known to have got nothing before. That gives 0.012 of it back, and keeps the bound.
+//! Sent requests are counted in a sliding window, and a burst up to the limit is allowed. A process
+//! that has just started cannot count what its predecessor sent, so it sends nothing to a cold
+//! backend server until a whole window has passed, unless the instance is known to be new.
 
 use crate::units::Timestamp;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Length of the window in which sends are counted: a second, and what two sends may come closer together on
-/// the way than they left.
+/// Length of the sliding window: a second, and how much closer together two requests may arrive
+/// than they were sent.
 const WINDOW: Duration = Duration::from_millis(1_050);
-/// Requests of the bound that are left unused, for what comes closer together on the way.
-const SPARE: f64 = 1.0;
+/// Requests of the limit that are left unused, for those that arrive closer together.
+const SPARE_REQUESTS: f64 = 1.0;
 
-/// What a cold backend server takes.
+/// Limits of a cold backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ColdLimits {
-    /// Requests that it is given in any one second at most.
-    at_most: usize,
+    /// Largest number of requests in a window.
+    max_per_window: usize,
 }
 
 impl ColdLimits {
-    /// Works the limits out of operators' figures: `per_second` is what it works off, `over` how many times that it may get
-    /// in a second, and `slack` how many requests beyond that.
+    /// Derives the limits from the settings: `per_second` is the rate that the server processes,
+    /// `over` how many times that rate it may get in a second, `slack` how many requests in
+    /// addition.
     pub fn new(per_second: f64, over: f64, slack: f64) -> ColdLimits {
-        let at_most = per_second * over + slack - SPARE;
-        // One that takes nothing would be waited for without an end.
-        ColdLimits { at_most: (at_most as usize).max(1) }
+        let max_per_window = per_second * over + slack - SPARE_REQUESTS;
+        // With a limit of zero, requests would wait forever.
+        ColdLimits { max_per_window: (max_per_window as usize).max(1) }
     }
 }
 
-/// Counts what a backend server is sent. It counts while the server is warm as well, for it may become cold at any
-/// time.
+/// Counts requests sent to a backend server. It counts while the server is warm as well, as that
+/// may become cold at any time.
 #[derive(Debug, Default)]
 pub struct ColdPace {
     sent: VecDeque<Timestamp>,
-    /// Whether the backend server got nothing before this process knew it.
+    /// Whether the instance is new: no earlier process sent requests to it.
     is_new: bool,
 }
 
 impl ColdPace {
-    /// Notes that the backend server got nothing before this process knew it.
+    /// Records that the instance is new.
     pub fn on_new(&mut self) {
         self.is_new = true;
     }
 
-    /// Notes a send.
+    /// Records that a request is sent.
     pub fn on_sent(&mut self, now: Timestamp) {
-        self.forget(now);
+        self.expire(now);
         self.sent.push_back(now);
     }
 
-    /// Returns whether one more request may go; `under_way` were let in and are not sent yet.
-    pub fn has_room(&mut self, now: Timestamp, limits: &ColdLimits, under_way: usize) -> bool {
-        self.wait(now, limits, under_way).is_zero()
+    /// Returns whether one more request may be sent; `unsent` ones were admitted and are not sent
+    /// yet.
+    pub fn allows(&mut self, now: Timestamp, limits: &ColdLimits, unsent: usize) -> bool {
+        self.wait(now, limits, unsent).is_zero()
     }
 
-    /// Returns the time until a request has its turn that `ahead` others go before.
+    /// Returns the time until a request may be sent that `ahead` others precede.
     pub fn wait(&mut self, now: Timestamp, limits: &ColdLimits, ahead: usize) -> Duration {
-        self.forget(now);
-        let whole = self.until_whole(now);
-        if !whole.is_zero() {
-            return whole;
+        self.expire(now);
+        let until_known = self.until_window_known(now);
+        if !until_known.is_zero() {
+            return until_known;
         }
-        let missing = (self.sent.len() + ahead + 1).saturating_sub(limits.at_most);
-        let Some(behind) = missing.checked_sub(1) else { return Duration::ZERO };
-        // What is sent leaves the window in its order, and whatever takes its place leaves it a window later.
-        let rounds = (behind / limits.at_most) as u32;
-        let leaves = self.sent.get(behind % limits.at_most).copied().unwrap_or(now);
+        let excess = (self.sent.len() + ahead + 1).saturating_sub(limits.max_per_window);
+        let Some(index) = excess.checked_sub(1) else { return Duration::ZERO };
+        // Requests leave the window in order, and those that replace them leave one window later.
+        let rounds = (index / limits.max_per_window) as u32;
+        let leaves = self.sent.get(index % limits.max_per_window).copied().unwrap_or(now);
         (leaves + WINDOW * (rounds + 1)).since(now)
     }
 
-    /// Returns the time until all that was sent in the window is counted. The clock begins with the process.
-    fn until_whole(&self, now: Timestamp) -> Duration {
+    /// Returns the time until the window covers only this process, whose clock starts at zero.
+    fn until_window_known(&self, now: Timestamp) -> Duration {
         let age = now.since(Timestamp::default());
         if self.is_new { Duration::ZERO } else { WINDOW.saturating_sub(age) }
     }
 
-    fn forget(&mut self, now: Timestamp) {
+    fn expire(&mut self, now: Timestamp) {
         while self.sent.front().is_some_and(|at| now.since(*at) > WINDOW) {
             self.sent.pop_front();
         }
--- a/crates/cherrystream-core/src/deadline.rs
+++ b/crates/cherrystream-core/src/deadline.rs
@@ -1,4 +1,4 @@
-//! Deadlines travel as the time that remains, lessened at each hop.
+//! Request deadlines. They are sent as the remaining time, which each hop reduces.
 
 use crate::units::Timestamp;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 pub struct Deadline(Timestamp);
 
 impl Deadline {
-    /// Returns the earlier of what the caller allows and what the kind of request allows.
+    /// Returns the earlier of the deadline of the caller and that of the kind of request.
     pub fn new(now: Timestamp, caller: Option<Duration>, kind: Duration) -> Self {
         Deadline(now + caller.map_or(kind, |d| d.min(kind)))
     }
 
-    /// Returns the time that remains, or `None` when it has passed.
+    /// Returns the remaining time, or `None` when the deadline has passed.
     pub fn remaining(self, now: Timestamp) -> Option<Duration> {
         let left = self.0.since(now);
         (!left.is_zero()).then_some(left)
--- a/crates/cherrystream-core/src/measuring.rs
+++ b/crates/cherrystream-core/src/measuring.rs
@@ -1,16 +1,16 @@
-//! The budget for measuring a backend server, and what its health endpoint tells.
+//! Rate limit of probes of a backend server, and its state derived from health checks.
 
 use crate::units::Timestamp;
 use cherrystream_schema::messages::ServerState;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Span in which the budget counts.
+/// Sliding window of the budget.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Failed checks in a row after which a backend server counts as down.
+/// Consecutive failed checks after which a backend server is down.
 const FAILURES_TO_DOWN: u32 = 2;
 
-/// Lets at most a set number of measuring requests through in any one second.
+/// Allows at most a fixed number of probes in any second.
 #[derive(Debug)]
 pub struct MeasuringBudget {
     per_second: u32,
@@ -18,17 +18,17 @@
 }
 
 impl MeasuringBudget {
-    /// Creates the budget.
+    /// Creates a budget of `per_second` probes.
     pub fn new(per_second: u32) -> MeasuringBudget {
         MeasuringBudget { per_second, sent: VecDeque::new() }
     }
 
-    /// Changes the budget.
+    /// Replaces the number of probes per second.
     pub fn set(&mut self, per_second: u32) {
         self.per_second = per_second;
     }
 
-    /// Takes one request out of the budget, if it holds one.
+    /// Takes one probe from the budget; returns whether there was one.
     pub fn try_spend(&mut self, now: Timestamp) -> bool {
         while self.sent.front().is_some_and(|at| now.since(*at) >= WINDOW) {
             self.sent.pop_front();
@@ -40,22 +40,22 @@
         can
     }
 
-    /// Returns the time between measuring requests that spreads them over a second.
+    /// Returns the interval that distributes probes evenly over a second.
     pub fn interval(&self) -> Duration {
         WINDOW / self.per_second.max(1)
     }
 }
 
-/// Result of one check of the health endpoint.
+/// Result of one health check.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Check {
-    /// The backend server named its state.
+    /// The backend server reported its state.
     Said(ServerState),
-    /// No usable answer came.
+    /// The check timed out, or its response was invalid.
     Failed,
 }
 
-/// State of a backend server by its checks.
+/// State of a backend server derived from its health checks.
 #[derive(Debug)]
 pub struct Health {
     state: ServerState,
@@ -69,7 +69,7 @@
 }
 
 impl Health {
-    /// Takes the result of a check and returns the state.
+    /// Records the result of a check and returns the state.
     pub fn on_check(&mut self, check: Check) -> ServerState {
         match check {
             Check::Said(state) => {
--- a/crates/cherrystream-core/src/pace.rs
+++ b/crates/cherrystream-core/src/pace.rs
@@ -1,122 +1,122 @@
-//! The pace of a backend server: how slow its work is at this moment, by its own word.
+//! Slowness of a backend server: its current service time relative to normal, as it reports it.
 
 use crate::units::Timestamp;
 use std::time::Duration;
 
-/// Slowness of a backend server that works as usual, in hundredths of the usual time.
+/// Slowness of a backend server at its normal speed, in hundredths of the normal service time.
 pub const USUAL: u32 = 100;
-/// Above this slowness a backend server counts as slow for work whose usual time is not known.
+/// Slowness above which a backend server is slow for requests without a typical service time.
 const SLOW_ABOVE: u32 = 2 * USUAL;
-/// Time for which its word is believed.
-const BELIEVED: Duration = Duration::from_millis(250);
-/// Age of a word at which it is asked again, where work was turned down on it.
-const ASKED_AGAIN_AFTER: Duration = Duration::from_millis(60);
-/// Age from which a word is too old to decide on a request that can wait for a newer one: servers turn slow and quick again
-/// within some hundred milliseconds.
+/// Validity of a report.
+const REPORT_TTL: Duration = Duration::from_millis(250);
+/// Age of a report that caused a refusal at which a new one is requested.
+const PROBE_AFTER: Duration = Duration::from_millis(60);
+/// Age at which a report is too old to decide on a request that can wait for a new one: servers
+/// change their speed within a few hundred milliseconds.
 const STALE_AFTER: Duration = Duration::from_millis(50);
-/// Slowness that a backend server is taken to have had before its words are known, in hundredths: it shares its host with
-/// others, or it would tell no pace.
-const SLOWEST_AT_FIRST: u32 = 4 * USUAL;
-/// Time for which it is remembered how slow a backend server has been.
-const REMEMBERED: Duration = Duration::from_secs(10);
-/// Time for which a backend server that gave no word is not asked again while a request waits.
-const NOT_ASKED_FOR: Duration = Duration::from_secs(1);
+/// Assumed peak slowness before the first report, in hundredths: a backend server that reports
+/// slowness shares its host with others.
+const INITIAL_PEAK: u32 = 4 * USUAL;
+/// Time for which the peak slowness is kept.
+const PEAK_TTL: Duration = Duration::from_secs(10);
+/// Time after an unanswered probe in which no request waits for another.
+const PROBE_BACKOFF: Duration = Duration::from_secs(1);
 
-/// What is known of the pace.
+/// Last reported and recent peak slowness.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
     slowness: u32,
-    heard: Option<Timestamp>,
-    /// Whether work was turned down on the last word.
-    cost_work: bool,
-    /// The slowest that it has been lately, and when.
-    slowest: u32,
-    slowest_at: Timestamp,
-    not_asked_until: Timestamp,
+    reported_at: Option<Timestamp>,
+    /// Whether the last report caused a refusal.
+    caused_refusal: bool,
+    /// Peak of recent reports, and its time.
+    peak: u32,
+    peak_at: Timestamp,
+    no_probe_until: Timestamp,
 }
 
 impl Default for Pace {
     fn default() -> Self {
         Pace {
             slowness: USUAL,
-            heard: None,
-            cost_work: false,
-            slowest: SLOWEST_AT_FIRST,
-            slowest_at: Timestamp::default(),
-            not_asked_until: Timestamp::default(),
+            reported_at: None,
+            caused_refusal: false,
+            peak: INITIAL_PEAK,
+            peak_at: Timestamp::default(),
+            no_probe_until: Timestamp::default(),
         }
     }
 }
 
 impl Pace {
-    /// Takes the backend server's word.
-    pub fn on_word(&mut self, now: Timestamp, slowness: u32) {
+    /// Records a report of the backend server.
+    pub fn on_report(&mut self, now: Timestamp, slowness: u32) {
         self.slowness = slowness;
-        self.remember(now, slowness);
-        self.heard = Some(now);
-        self.cost_work = false;
+        self.record_peak(now, slowness);
+        self.reported_at = Some(now);
+        self.caused_refusal = false;
     }
 
-    fn remember(&mut self, now: Timestamp, slowness: u32) {
-        let is_forgotten = now.since(self.slowest_at) >= REMEMBERED && self.heard.is_some();
-        if is_forgotten || slowness >= self.slowest {
-            self.slowest = slowness;
-            self.slowest_at = now;
-        } else if self.heard.is_none() {
-            self.slowest_at = now;
+    fn record_peak(&mut self, now: Timestamp, slowness: u32) {
+        let is_expired = now.since(self.peak_at) >= PEAK_TTL && self.reported_at.is_some();
+        if is_expired || slowness >= self.peak {
+            self.peak = slowness;
+            self.peak_at = now;
+        } else if self.reported_at.is_none() {
+            self.peak_at = now;
         }
     }
 
-    /// Notes that no word came while a request waited for it.
-    pub fn on_unanswered(&mut self, now: Timestamp) {
-        self.not_asked_until = now + NOT_ASKED_FOR;
+    /// Records that a probe was not answered while a request waited for it.
+    pub fn on_probe_timeout(&mut self, now: Timestamp) {
+        self.no_probe_until = now + PROBE_BACKOFF;
     }
 
-    /// Returns whether a request should wait for a new word: the last one is old, and one like the slowest of late would turn
-    /// the request down. A backend server that tells no pace is never asked, nor one that is always about as quick.
-    pub fn decides(
+    /// Returns whether a request should wait for a new report: the last one is old, and a slowness
+    /// like the recent peak would refuse the request. A backend server that never reports is not
+    /// probed, nor is one whose speed is stable.
+    pub fn needs_report_first(
         &self,
         now: Timestamp,
-        usual: Option<Duration>,
+        typical_time: Option<Duration>,
         within: Option<Duration>,
     ) -> bool {
-        let is_old = self.heard.is_some_and(|at| now.since(at) >= STALE_AFTER);
-        is_old && now >= self.not_asked_until && is_too_slow(self.slowest, usual, within)
+        let is_old = self.reported_at.is_some_and(|at| now.since(at) >= STALE_AFTER);
+        is_old && now >= self.no_probe_until && is_too_slow(self.peak, typical_time, within)
     }
 
-    /// Notes that work was turned down because of the last word.
-    pub fn on_turned_down(&mut self) {
-        self.cost_work = true;
+    /// Records that the last report caused a refusal.
+    pub fn on_refused(&mut self) {
+        self.caused_refusal = true;
     }
 
-    /// Returns the slowness as far as it is known; the usual one otherwise.
+    /// Returns the reported slowness while it is valid, the normal one otherwise.
     pub fn slowness(&self, now: Timestamp) -> u32 {
-        let fresh = self.heard.is_some_and(|at| now.since(at) < BELIEVED);
+        let fresh = self.reported_at.is_some_and(|at| now.since(at) < REPORT_TTL);
         if fresh { self.slowness } else { USUAL }
     }
 
-    /// Returns whether work is too slow there, by a word that is fresh enough: work that usually takes
-    /// `usual` would take more than `within`. Where one of these is not known, that is guessed from the
-    /// slowness alone.
+    /// Returns whether the backend server is too slow for a request with the typical service time
+    /// `typical_time` to finish `within` a time. If either is unknown, only the slowness decides.
     pub fn is_too_slow(
         &self,
         now: Timestamp,
-        usual: Option<Duration>,
+        typical_time: Option<Duration>,
         within: Option<Duration>,
     ) -> bool {
-        is_too_slow(self.slowness(now), usual, within)
+        is_too_slow(self.slowness(now), typical_time, within)
     }
 
-    /// Returns whether it should be asked whether it is still slow.
-    pub fn wants_word(&self, now: Timestamp) -> bool {
-        self.cost_work && self.heard.is_some_and(|at| now.since(at) >= ASKED_AGAIN_AFTER)
+    /// Returns whether a probe for a new report is due.
+    pub fn needs_probe(&self, now: Timestamp) -> bool {
+        self.caused_refusal && self.reported_at.is_some_and(|at| now.since(at) >= PROBE_AFTER)
     }
 }
 
-fn is_too_slow(slowness: u32, usual: Option<Duration>, within: Option<Duration>) -> bool {
-    match (usual, within) {
+fn is_too_slow(slowness: u32, typical_time: Option<Duration>, within: Option<Duration>) -> bool {
+    match (typical_time, within) {
         _ if slowness <= USUAL => false,
-        (Some(usual), Some(within)) => usual * slowness / USUAL > within,
+        (Some(typical_time), Some(within)) => typical_time * slowness / USUAL > within,
         _ => slowness > SLOW_ABOVE,
     }
 }
--- a/crates/cherrystream-core/src/room.rs
+++ b/crates/cherrystream-core/src/room.rs
@@ -1,10 +1,11 @@
-//! The room of a backend server: how many requests it is given at once, learned from its answers.
+//! Adaptive concurrency limit of a backend server, learned from its service times.
 //!
-//! Work begun beside much other work may take longer. A further request is worth letting in as long as the whole does
-//! not serve less by it: by Little's law a server that works on `n` requests for a time `t` each serves `n / t`. So the
-//! time of answers that began at each level is compared with the usual time of their kind, and the highest level counts
-//! at which `n / t` is not much below its best. A level beyond those with answers is taken to be as quick as the one below, so it
-//! is tried once requests ask for it, and given up again if the answers speak against it.
+//! Requests may take longer the more of them run concurrently. By Little's law a server that serves
+//! `n` requests in a time `t` each has a throughput of `n / t`. The service time at each
+//! concurrency level is compared with the typical time of the kind of request, and the limit is the
+//! highest level whose throughput is close to the best. A level above those with samples is assumed
+//! to be as fast as the one below: it is tried when requests need it, and given up if service times
+//! rise.
 
 use crate::pace::USUAL;
 use crate::units::Timestamp;
@@ -12,81 +13,80 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Levels that are told apart; servers with more slots have several slots a level.
-const LEVELS_AT_MOST: u32 = 12;
-/// Answers from which the time at a level is believed. Times of one kind differ by a third and more, and ten tell a half
-/// from that.
-const ENOUGH: f64 = 10.0;
-/// Answers at the level of the first share from which more is tried.
-const FIRST_ENOUGH: f64 = 5.0;
-/// Answers that a level remembers, so that a server that changes is known by its latest.
-const MEMORY: f64 = 90.0;
-/// Largest ratio of one answer to the usual time that counts: longer ones are rare work, and say little of the level.
-const RATIO_AT_MOST: f64 = 3.0;
-/// Answers from which the usual time of a kind is believed.
-const USUAL_ENOUGH: f64 = 5.0;
-/// Answers over which it is averaged: levels are compared by it, so it changes more slowly than what a level remembers.
-const USUAL_MEMORY: f64 = 200.0;
-/// Kinds whose usual time is kept at most.
-const KINDS_AT_MOST: usize = 64;
-/// Part of the best throughput that may be given up for letting more requests in at once. These are served without
-/// waiting, and callers whose target is near are refused less.
-const GIVEN_UP: f64 = 0.05;
-/// Part of the slots that is used whatever the answers say: with less, too little is seen to learn that more would do.
-const FLOOR_SHARE: f64 = 0.25;
-/// Largest difference of the told pace between begin and end, in hundredths; beyond it the time says nothing.
-const PACE_MAY_CHANGE: u32 = 30;
-/// Pause until what is known against the levels above the limit is forgotten, so that they are tried again.
-const PAUSE_AT_FIRST: Duration = Duration::from_secs(20);
-/// The longest such pause.
-const PAUSE_AT_MOST: Duration = Duration::from_secs(320);
-
-/// Part of a share of the slots that is much to lose by rounding. Where less is lost, trying more costs callers more than
-/// it can gain: with 12 slots, of which 9 of 9.6 are used, a heavy day served 0.566 of its worth in place of 0.662 (one
-/// pair of plays); with 6, of which 4 of 4.8 are used, 0.752 in place of 0.600.
-const MUCH_LOST: f64 = 0.1;
-
-/// Returns whether much is lost where a share of the slots is rounded down.
+/// Largest number of levels; servers with more slots have several slots per level.
+const MAX_LEVELS: u32 = 12;
+/// Samples from which the mean of a level is used. Times of one kind vary by a third or more.
+const MIN_LEVEL_SAMPLES: f64 = 10.0;
+/// Samples at the initial limit from which more is tried.
+const MIN_INITIAL_SAMPLES: f64 = 5.0;
+/// Effective number of samples of a level; older ones lose weight, so that changes are followed.
+const MAX_LEVEL_SAMPLES: f64 = 90.0;
+/// Largest ratio of a sample to the typical time; longer ones are outliers, independent of the
+/// level.
+const MAX_RATIO: f64 = 3.0;
+/// Samples from which the typical time of a kind is used.
+const MIN_KIND_SAMPLES: f64 = 5.0;
+/// Effective number of samples of a typical time. Levels are compared by it, so it changes more
+/// slowly than they do.
+const MAX_KIND_SAMPLES: f64 = 200.0;
+/// Largest number of kinds with a typical time.
+const MAX_KINDS: usize = 64;
+/// Share of the best throughput that is given up for a higher limit, which refuses fewer requests.
+const THROUGHPUT_TOLERANCE: f64 = 0.05;
+/// Smallest limit as a share of the slots; with less there are too few samples to raise it again.
+const MIN_SLOT_SHARE: f64 = 0.25;
+/// Largest change of the slowness during a request, in hundredths; beyond it the sample is ignored.
+const MAX_SLOWNESS_CHANGE: u32 = 30;
+/// Initial time until the levels above the limit are tried again.
+const INITIAL_PAUSE: Duration = Duration::from_secs(20);
+/// Longest time until the levels above the limit are tried again.
+const MAX_PAUSE: Duration = Duration::from_secs(320);
+
+/// Largest loss by rounding, as a share of the wanted slots, at which the fixed limit is kept: the
+/// adaptive one gains less there than its trials cost.
+const MAX_ROUNDING_LOSS: f64 = 0.1;
+
+/// Returns whether rounding `slots * share` down loses a considerable part of it.
 pub fn loses_by_rounding(slots: u32, share: f64) -> bool {
     let wanted = f64::from(slots) * share;
-    wanted - wanted.floor() > MUCH_LOST * wanted
+    wanted - wanted.floor() > MAX_ROUNDING_LOSS * wanted
 }
 
-/// Work that the backend server has done.
+/// A request that the backend server has served.
 #[derive(Clone, Copy, Debug)]
 pub struct Work<'a> {
     /// Kind of request.
     pub kind: &'a Arc<str>,
-    /// Time from its begin to its answer.
+    /// Service time.
     pub took: Duration,
-    /// Slowness that the backend server told at the begin, in hundredths.
+    /// Slowness that the backend server reported when the request started, in hundredths.
     pub slowness_before: u32,
 }
 
-/// An answer of the backend server.
+/// A sample for the limit.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer<'a> {
-    /// The work.
+    /// The served request.
     pub work: Work<'a>,
-    /// Requests at the backend server when this one began, itself included.
+    /// Requests in flight when this one started, itself included.
     pub level: u32,
-    /// Slowness that it told at the end, in hundredths.
+    /// Slowness that the backend server reported when the request ended, in hundredths.
     pub slowness_after: u32,
 }
 
-/// Why the limit changed.
+/// Reason of a change of the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Cause {
-    /// The usual times are known now, and nothing speaks against more.
+    /// Enough samples were collected, and none speaks against a higher limit.
     Opened,
-    /// Answers are slower by more than the further requests add.
+    /// Service times rose by more than the additional concurrency gains.
     Slower,
-    /// What spoke against more is long ago, and requests find no slot.
+    /// The pause is over and requests found no slot: levels above the limit are tried again.
     TriedAgain,
 }
 
 impl Cause {
-    /// Returns its name in metrics and log lines.
+    /// Returns the name in metrics and log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             Cause::Opened => "opened",
@@ -99,193 +99,196 @@
 /// A change of the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The limit before.
+    /// Previous limit.
     pub from: u32,
-    /// The limit from now on.
+    /// New limit.
     pub to: u32,
-    /// Why.
+    /// Reason of the change.
     pub cause: Cause,
 }
 
-/// The usual time of a kind of request.
+/// Typical service time of a kind of request.
 #[derive(Clone, Copy, Debug)]
-struct Usual {
+struct TypicalTime {
     seconds: f64,
-    answers: f64,
+    samples: f64,
 }
 
-impl Usual {
-    /// Takes a time. One that is far beyond the usual is rare work, and counts in part.
-    fn take(&mut self, seconds: f64) {
-        let counted = seconds.min(self.seconds * RATIO_AT_MOST);
-        self.answers = (self.answers + 1.0).min(USUAL_MEMORY);
-        self.seconds += (counted - self.seconds) / self.answers;
+impl TypicalTime {
+    /// Records a sample. Outliers are clamped.
+    fn record(&mut self, seconds: f64) {
+        let counted = seconds.min(self.seconds * MAX_RATIO);
+        self.samples = (self.samples + 1.0).min(MAX_KIND_SAMPLES);
+        self.seconds += (counted - self.seconds) / self.samples;
     }
 
     fn is_known(&self) -> bool {
-        self.answers >= USUAL_ENOUGH && self.seconds > 0.0
+        self.samples >= MIN_KIND_SAMPLES && self.seconds > 0.0
     }
 }
 
-/// How much longer answers take that began at one level.
+/// Relative service time at one level.
 #[derive(Clone, Copy, Debug, Default)]
 struct Level {
-    answers: f64,
-    /// Mean ratio to the usual time.
+    samples: f64,
+    /// Mean ratio to the typical time.
     mean: f64,
 }
 
 impl Level {
-    /// Takes an answer. Work that holds a slot for a short time has a small weight.
-    fn take(&mut self, ratio: f64, weight: f64) {
-        self.answers = (self.answers + weight).min(MEMORY);
-        self.mean += (ratio - self.mean) * weight / self.answers;
+    /// Records a sample. Requests with a short service time have a small weight.
+    fn record(&mut self, ratio: f64, weight: f64) {
+        self.samples = (self.samples + weight).min(MAX_LEVEL_SAMPLES);
+        self.mean += (ratio - self.mean) * weight / self.samples;
     }
 }
 
-/// Levels that are taken to be alike.
+/// Neighbouring levels that are considered equal.
 #[derive(Clone, Copy, Debug)]
 struct Pool {
     from: usize,
     to: usize,
-    answers: f64,
+    samples: f64,
     mean: f64,
 }
 
 impl Pool {
     fn with(&self, above: &Pool) -> Pool {
-        let answers = self.answers + above.answers;
-        let mean = (self.mean * self.answers + above.mean * above.answers) / answers;
-        Pool { from: self.from, to: above.to, answers, mean }
+        let samples = self.samples + above.samples;
+        let mean = (self.mean * self.samples + above.mean * above.samples) / samples;
+        Pool { from: self.from, to: above.to, samples, mean }
     }
 }
 
-/// How much longer answers take at a level.
+/// Relative service time of a level.
 #[derive(Clone, Copy, Debug)]
-struct Slowdown {
-    slowdown: f64,
+struct RelativeTime {
+    ratio: f64,
     is_known: bool,
 }
 
-/// The learned limit.
+/// Adaptive concurrency limit.
 #[derive(Clone, Debug)]
 pub struct Room {
     slots: u32,
-    /// Requests at once that are given before anything is known; up to this level answers show the usual time.
-    first: u32,
+    /// Limit before any samples; levels up to it define the typical times.
+    initial: u32,
     limit: u32,
     levels: Vec<Level>,
-    usual: HashMap<Arc<str>, Usual>,
-    /// Whether the slots beyond the first share were ever tried.
-    opened: bool,
-    next_trial: Timestamp,
+    typical: HashMap<Arc<str>, TypicalTime>,
+    /// Whether levels above the initial limit were ever tried.
+    is_explored: bool,
+    next_trial_at: Timestamp,
     pause: Duration,
-    /// Changes that have not been asked for.
+    /// Changes since the last [`Room::take_changes`].
     changes: Vec<Change>,
 }
 
 impl Room {
-    /// Creates the room of a server with `slots`, of which a share is used at first.
+    /// Creates the limit of a server with `slots`, of which `share` is used initially.
     pub fn new(slots: u32, share: f64) -> Room {
         let slots = slots.max(1);
-        let first = ((f64::from(slots) * share) as u32).clamp(1, slots);
+        let initial = ((f64::from(slots) * share) as u32).clamp(1, slots);
         Room {
             slots,
-            first,
-            limit: first,
-            levels: vec![Level::default(); slots.min(LEVELS_AT_MOST) as usize],
-            usual: HashMap::new(),
-            opened: false,
-            next_trial: Timestamp::default(),
-            pause: PAUSE_AT_FIRST,
+            initial,
+            limit: initial,
+            levels: vec![Level::default(); slots.min(MAX_LEVELS) as usize],
+            typical: HashMap::new(),
+            is_explored: false,
+            next_trial_at: Timestamp::default(),
+            pause: INITIAL_PAUSE,
             changes: Vec::new(),
         }
     }
 
-    /// Begins with what is known here for a server with `slots`; that is nothing where their number differs.
+    /// Keeps what was learned for a server with the same number of slots; starts anew otherwise.
     pub fn with_slots(self, slots: u32, share: f64) -> Room {
         if slots == self.slots { self } else { Room::new(slots, share) }
     }
 
-    /// Returns the slots of the server.
+    /// Returns the number of slots of the server.
     pub fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// Returns the number of requests that the server is given at once.
+    /// Returns the limit of concurrent requests.
     pub fn limit(&self) -> u32 {
         self.limit
     }
 
-    /// Returns the changes since it was last asked.
+    /// Returns the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Takes an answer.
+    /// Records a sample and updates the limit.
     pub fn on_answer(&mut self, now: Timestamp, answer: &Answer<'_>) {
         let work = answer.work;
-        if work.slowness_before.abs_diff(answer.slowness_after) > PACE_MAY_CHANGE {
+        if work.slowness_before.abs_diff(answer.slowness_after) > MAX_SLOWNESS_CHANGE {
             return;
         }
         let slowness = u32::midpoint(work.slowness_before, answer.slowness_after).max(1);
         let seconds = work.took.as_secs_f64() * f64::from(USUAL) / f64::from(slowness);
-        if answer.level <= self.first {
-            self.learn_usual(work.kind, seconds);
+        if answer.level <= self.initial {
+            self.record_typical(work.kind, seconds);
         }
-        let Some(usual) = self.usual.get(work.kind).filter(|usual| usual.is_known()) else {
+        let Some(typical) = self.typical.get(work.kind).filter(|typical| typical.is_known()) else {
             return;
         };
-        // A rare long kind that is not known yet must not make all others count for nothing.
-        let known = self.usual.values().filter(|usual| usual.is_known());
-        let longest = known.map(|usual| usual.seconds).fold(0.0, f64::max);
-        let ratio = seconds / usual.seconds;
+        // Kinds without a typical time don't count: a rare long one would lower the weight of all
+        // others.
+        let known = self.typical.values().filter(|typical| typical.is_known());
+        let longest = known.map(|typical| typical.seconds).fold(0.0, f64::max);
+        let ratio = seconds / typical.seconds;
         let level = self.level_of(answer.level);
-        self.levels[level].take(ratio.min(RATIO_AT_MOST), usual.seconds / longest);
-        self.settle(now);
+        self.levels[level].record(ratio.min(MAX_RATIO), typical.seconds / longest);
+        self.update_limit(now);
     }
 
-    /// Learns how long a kind usually takes.
-    fn learn_usual(&mut self, kind: &Arc<str>, seconds: f64) {
-        if let Some(usual) = self.usual.get_mut(kind) {
-            usual.take(seconds);
-        } else if self.usual.len() < KINDS_AT_MOST {
-            self.usual.insert(kind.clone(), Usual { seconds, answers: 1.0 });
+    /// Records a sample for the typical time of a kind.
+    fn record_typical(&mut self, kind: &Arc<str>, seconds: f64) {
+        if let Some(typical) = self.typical.get_mut(kind) {
+            typical.record(seconds);
+        } else if self.typical.len() < MAX_KINDS {
+            self.typical.insert(kind.clone(), TypicalTime { seconds, samples: 1.0 });
         }
     }
 
-    /// Notes that a request found no slot.
-    pub fn on_short(&mut self, now: Timestamp) {
-        if self.limit == self.slots || !self.is_first_known() || now < self.next_trial {
+    /// Records that a request found no free slot; tries the levels above the limit again after the
+    /// pause.
+    pub fn on_limit_reached(&mut self, now: Timestamp) {
+        if self.limit == self.slots || !self.is_initial_known() || now < self.next_trial_at {
             return;
         }
         let above = self.level_of(self.limit) + 1;
         self.levels[above..].fill(Level::default());
         let to = self.best_limit();
-        self.next_trial = now + self.pause;
-        self.set(to, Cause::TriedAgain);
+        self.next_trial_at = now + self.pause;
+        self.set_limit(to, Cause::TriedAgain);
     }
 
-    fn is_first_known(&self) -> bool {
-        self.levels[self.level_of(self.first)].answers >= FIRST_ENOUGH
+    fn is_initial_known(&self) -> bool {
+        self.levels[self.level_of(self.initial)].samples >= MIN_INITIAL_SAMPLES
     }
 
-    fn settle(&mut self, now: Timestamp) {
-        // Later, all may begin at levels beyond the first one, which must not keep a slow server full.
-        if !self.opened && !self.is_first_known() {
+    fn update_limit(&mut self, now: Timestamp) {
+        // After the first trial all requests may start above the initial limit; the limit must
+        // still fall then.
+        if !self.is_explored && !self.is_initial_known() {
             return;
         }
         let to = self.best_limit();
         if to < self.limit {
-            self.next_trial = now + self.pause;
-            self.pause = (self.pause * 2).min(PAUSE_AT_MOST);
-            self.set(to, Cause::Slower);
-        } else if !std::mem::replace(&mut self.opened, true) {
-            self.set(to, Cause::Opened);
+            self.next_trial_at = now + self.pause;
+            self.pause = (self.pause * 2).min(MAX_PAUSE);
+            self.set_limit(to, Cause::Slower);
+        } else if !std::mem::replace(&mut self.is_explored, true) {
+            self.set_limit(to, Cause::Opened);
         }
     }
 
-    fn set(&mut self, to: u32, cause: Cause) {
+    fn set_limit(&mut self, to: u32, cause: Cause) {
         if to == self.limit {
             return;
         }
@@ -293,64 +296,68 @@
         self.limit = to;
     }
 
-    /// Returns the highest number of requests whose throughput is near the best that was seen.
+    /// Returns the highest limit whose throughput is close to the best observed.
     fn best_limit(&self) -> u32 {
-        let slowdowns = self.slowdowns();
-        let throughput = |level: usize| f64::from(self.top_of(level)) / slowdowns[level].slowdown;
-        let levels = 0..slowdowns.len();
-        let known = levels.clone().filter(|level| slowdowns[*level].is_known);
+        let relative_times = self.relative_times();
+        let throughput = |level: usize| f64::from(self.max_of(level)) / relative_times[level].ratio;
+        let levels = 0..relative_times.len();
+        let known = levels.clone().filter(|level| relative_times[*level].is_known);
         let best = known.map(throughput).fold(0.0, f64::max);
-        let enough = best * (1.0 - GIVEN_UP);
+        let enough = best * (1.0 - THROUGHPUT_TOLERANCE);
         let found = levels.rev().find(|level| throughput(*level) >= enough);
-        let floor = (f64::from(self.slots) * FLOOR_SHARE).ceil() as u32;
-        found.map_or(floor, |level| self.top_of(level).max(floor))
+        let floor = (f64::from(self.slots) * MIN_SLOT_SHARE).ceil() as u32;
+        found.map_or(floor, |level| self.max_of(level).max(floor))
     }
 
-    /// Returns how much longer answers take that begin at each level. One without answers between others is as slow as
-    /// the one above: a knee may be right there, and to find out level by level costs callers each time.
-    fn slowdowns(&self) -> Vec<Slowdown> {
+    /// Returns the relative service time of each level. A level without samples between two others
+    /// gets that of the upper one: the service time may rise right there, and a trial of each level
+    /// costs latency.
+    fn relative_times(&self) -> Vec<RelativeTime> {
         let pooled = self.pooled();
-        let mut slowdowns = Vec::with_capacity(self.levels.len());
+        let mut relative_times = Vec::with_capacity(self.levels.len());
         let mut below: Option<Pool> = None;
         for level in 0..self.levels.len() {
             let here = pooled.iter().find(|pool| pool.from <= level && level <= pool.to);
             let above = pooled.iter().find(|pool| pool.from > level);
-            let slowdown = match (here, below, above) {
+            let ratio = match (here, below, above) {
                 (Some(here), _, _) => here.mean,
                 (None, Some(_), Some(above)) => above.mean,
                 (None, Some(below), None) => below.mean,
                 (None, None, _) => 1.0,
             };
-            slowdowns.push(Slowdown { slowdown, is_known: here.is_some() });
+            relative_times.push(RelativeTime { ratio, is_known: here.is_some() });
             below = here.copied().or(below);
         }
-        slowdowns
+        relative_times
     }
 
-    /// Pools neighbours until no level is quicker than one below it: more work at once makes no work quicker, so what
-    /// seems so is chance.
+    /// Pools adjacent levels until relative times rise with the level: more concurrency doesn't
+    /// make requests faster, so a fall is noise.
     fn pooled(&self) -> Vec<Pool> {
         let mut pools: Vec<Pool> = Vec::new();
-        for (level, seen) in self.levels.iter().enumerate().filter(|(_, seen)| seen.answers > 0.0) {
-            let mut pool = Pool { from: level, to: level, answers: seen.answers, mean: seen.mean };
+        for (level, stats) in
+            self.levels.iter().enumerate().filter(|(_, stats)| stats.samples > 0.0)
+        {
+            let mut pool =
+                Pool { from: level, to: level, samples: stats.samples, mean: stats.mean };
             while let Some(below) = pools.pop_if(|below| below.mean >= pool.mean) {
                 pool = below.with(&pool);
             }
             pools.push(pool);
         }
-        pools.retain(|pool| pool.answers >= ENOUGH);
+        pools.retain(|pool| pool.samples >= MIN_LEVEL_SAMPLES);
         pools
     }
 
-    /// Returns the level of a number of requests.
+    /// Returns the level of a number of concurrent requests.
     fn level_of(&self, requests: u32) -> usize {
         let (levels, slots) = (self.levels.len() as u64, u64::from(self.slots));
         let requests = u64::from(requests).clamp(1, slots);
         ((requests * levels).div_ceil(slots) - 1) as usize
     }
 
-    /// Returns the largest number of requests of a level.
-    fn top_of(&self, level: usize) -> u32 {
+    /// Returns the largest number of concurrent requests of a level.
+    fn max_of(&self, level: usize) -> u32 {
         let top = (level as u64 + 1) * u64::from(self.slots) / self.levels.len() as u64;
         u32::try_from(top).unwrap_or(self.slots)
     }
--- a/crates/cherrystream-core/src/usual_times.rs
+++ b/crates/cherrystream-core/src/usual_times.rs
@@ -1,4 +1,4 @@
-//! How long a backend server usually works on each kind of request, learned from its answers.
+//! Typical service times of a backend server by kind of request, learned from its answers.
 
 use crate::pace::USUAL;
 use crate::units::Timestamp;
@@ -6,59 +6,59 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Share of a new sample in the average.
-const SAMPLE_SHARE: f64 = 0.1;
-/// Answers from which an average is believed.
-const ENOUGH: u32 = 5;
-/// Kinds that are remembered at most.
-const KINDS_AT_MOST: usize = 256;
-/// Kinds without an answer for this long are forgotten when there are too many.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(30);
+/// Smallest weight of a new sample in the moving average.
+const MIN_SAMPLE_WEIGHT: f64 = 0.1;
+/// Samples from which an average is used.
+const MIN_SAMPLES: u32 = 5;
+/// Largest number of kinds.
+const MAX_KINDS: usize = 256;
+/// Time without an answer after which a kind is discarded to make space.
+const IDLE_TTL: Duration = Duration::from_secs(30);
 
-/// The average of one kind.
+/// Moving average of one kind.
 #[derive(Clone, Copy, Debug)]
 struct Average {
     seconds: f64,
-    answers: u32,
-    last: Timestamp,
+    samples: u32,
+    last_answer: Timestamp,
 }
 
-/// Averages by kind of request, of the time that work takes at the usual pace.
+/// Averages of service times at normal speed by kind of request.
 #[derive(Debug, Default)]
 pub struct UsualTimes {
     by_kind: HashMap<Arc<str>, Average>,
 }
 
 impl UsualTimes {
-    /// Notes an answer that took a time, at a pace of `slowness` hundredths of the usual time.
+    /// Records an answer that took a time, at a slowness in hundredths of the normal service time.
     pub fn on_answer(&mut self, now: Timestamp, kind: &Arc<str>, took: Duration, slowness: u32) {
         let sample = took.as_secs_f64() * f64::from(USUAL) / f64::from(slowness.max(1));
         if let Some(average) = self.by_kind.get_mut(kind) {
-            average.take(now, sample);
+            average.record(now, sample);
             return;
         }
-        if self.by_kind.len() >= KINDS_AT_MOST {
-            self.by_kind.retain(|_, average| now.since(average.last) < FORGOTTEN_AFTER);
+        if self.by_kind.len() >= MAX_KINDS {
+            self.by_kind.retain(|_, average| now.since(average.last_answer) < IDLE_TTL);
         }
-        if self.by_kind.len() < KINDS_AT_MOST {
-            let first = Average { seconds: sample, answers: 1, last: now };
+        if self.by_kind.len() < MAX_KINDS {
+            let first = Average { seconds: sample, samples: 1, last_answer: now };
             self.by_kind.insert(kind.clone(), first);
         }
     }
 
-    /// Returns the usual time of a kind, once enough answers were seen.
+    /// Returns the typical service time of a kind, if there are enough samples.
     pub fn usual(&self, kind: &str) -> Option<Duration> {
-        let average = self.by_kind.get(kind).filter(|average| average.answers >= ENOUGH)?;
+        let average = self.by_kind.get(kind).filter(|average| average.samples >= MIN_SAMPLES)?;
         Some(Duration::from_secs_f64(average.seconds))
     }
 }
 
 impl Average {
-    fn take(&mut self, now: Timestamp, sample: f64) {
-        self.answers = self.answers.saturating_add(1);
-        // The first answers count alike, so that the very first one has no lasting weight.
-        let share = SAMPLE_SHARE.max(1.0 / f64::from(self.answers));
-        self.seconds += share * (sample - self.seconds);
-        self.last = now;
+    fn record(&mut self, now: Timestamp, sample: f64) {
+        self.samples = self.samples.saturating_add(1);
+        // The first samples have equal weight, so that the very first has no lasting effect.
+        let weight = MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples));
+        self.seconds += weight * (sample - self.seconds);
+        self.last_answer = now;
     }
 }
--- a/crates/cherrystream-core/tests/cold.rs
+++ b/crates/cherrystream-core/tests/cold.rs
@@ -54,12 +54,12 @@
 fn a_server_of_which_nothing_was_heard_counts_as_cold() {
     let mut warmth = Warmth::default();
     assert!(warmth.is_cold(at(0)));
-    assert!(warmth.asks(at(0)));
-    assert!(!warmth.asks(at(50)), "one question at a time");
+    assert!(warmth.start_probe(at(0)));
+    assert!(!warmth.start_probe(at(50)), "one question at a time");
     warmth.on_answer(at(60), Duration::ZERO);
     assert!(!warmth.is_cold(at(60)));
-    assert!(!warmth.asks(at(500)));
-    assert!(warmth.asks(at(600)));
+    assert!(!warmth.start_probe(at(500)));
+    assert!(warmth.start_probe(at(600)));
     assert!(warmth.is_cold(at(4_000)), "a word of seconds ago, as after a freeze, is not believed");
 }
 
@@ -80,7 +80,7 @@
     let mut warmth = Warmth::default();
     warmth.on_answer(at(0), Duration::ZERO);
     warmth.doubt();
-    assert!(warmth.is_cold(at(10)) && warmth.asks(at(10)));
+    assert!(warmth.is_cold(at(10)) && warmth.start_probe(at(10)));
     warmth.on_answer(at(20), ms(2_000));
     assert!(warmth.is_cold(at(2_000)) && !warmth.is_cold(at(2_020)));
 }
--- a/crates/cherrystream-core/tests/overload.rs
+++ b/crates/cherrystream-core/tests/overload.rs
@@ -95,13 +95,13 @@
 #[test]
 fn the_word_of_a_slow_server_is_asked_for_again_and_forgotten() {
     let mut pace = Pace::default();
-    assert!(!pace.wants_word(ms(1)));
-    pace.on_word(ms(100), 400);
+    assert!(!pace.needs_probe(ms(1)));
+    pace.on_report(ms(100), 400);
     assert!(pace.is_too_slow(ms(120), None, None));
-    assert!(!pace.wants_word(ms(200)), "nobody was turned down");
-    pace.on_turned_down();
-    assert!(!pace.wants_word(ms(120)));
-    assert!(pace.wants_word(ms(200)));
+    assert!(!pace.needs_probe(ms(200)), "nobody was turned down");
+    pace.on_refused();
+    assert!(!pace.needs_probe(ms(120)));
+    assert!(pace.needs_probe(ms(200)));
     assert!(!pace.is_too_slow(ms(600), None, None));
 }
 
--- a/crates/cherrystream-core/tests/room.rs
+++ b/crates/cherrystream-core/tests/room.rs
@@ -297,9 +297,9 @@
     feed(&mut room, 2, 6, 200, 30);
     feed(&mut room, 3, 5, 200, 30);
     assert_eq!(room.limit(), 4);
-    room.on_short(Timestamp::from_millis(1_000));
+    room.on_limit_reached(Timestamp::from_millis(1_000));
     assert_eq!(room.limit(), 4);
-    room.on_short(Timestamp::from_millis(60_000));
+    room.on_limit_reached(Timestamp::from_millis(60_000));
     assert_eq!(room.limit(), 6);
     // It has a quicker machine now.
     feed(&mut room, 60_100, 6, 100, 30);
@@ -349,7 +349,7 @@
         for i in 0..400 {
             let level = u.int_in_range(1..=slots)?;
             feed(&mut room, i * 100, level, u.int_in_range(0..=2_000)?, 1);
-            room.on_short(Timestamp::from_millis(i * 100));
+            room.on_limit_reached(Timestamp::from_millis(i * 100));
             let floor = slots.div_ceil(4);
             assert!((floor..=slots).contains(&room.limit()), "{} of {slots}", room.limit());
         }
