--- a/crates/cherrystream-core/tests/call_times.rs
+++ b/crates/cherrystream-core/tests/call_times.rs
@@ -1,4 +1,4 @@
-//! Up to when an outbound decides one way or another.
+//! Time limits of a request at an outbound.
 
 use cherrystream_core::call_times::{CallTimes, Given};
 use cherrystream_core::units::Timestamp;
@@ -20,17 +20,17 @@
 }
 
 #[test]
-fn the_longer_a_body_the_longer_it_stays_nearby() {
+fn the_time_in_the_own_failure_domain_grows_with_the_body() {
     assert_eq!(nearby_until(0, 0), None);
-    assert_eq!(nearby_until(1_200, 0), None, "a shorter stay than an offer takes");
-    assert_eq!(nearby_until(6 * 1_024, 0), None, "a shorter stay than most slow moments");
+    assert_eq!(nearby_until(1_200, 0), None, "shorter than an offer takes");
+    assert_eq!(nearby_until(6 * 1_024, 0), None, "shorter than most slow periods");
     assert_eq!(nearby_until(16 * 1_024, 0), Some(1_200));
     assert_eq!(nearby_until(60 * 1_024, 0), Some(1_400), "half of the target at most");
     assert_eq!(nearby_until(60 * 1_024, 600), Some(1_100), "half of what is left of it");
 }
 
 #[test]
-fn an_answer_is_good_by_the_clock_of_the_caller() {
+fn the_target_counts_from_the_first_request_of_the_caller() {
     assert_eq!(given(0, 0).good_until, Timestamp::from_millis(1_800));
     assert_eq!(given(0, 300).good_until, Timestamp::from_millis(1_500));
     assert_eq!(given(0, 5_000).good_until, Timestamp::from_millis(1_000));
--- a/crates/cherrystream-core/tests/calls.rs
+++ b/crates/cherrystream-core/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that running requests make, at backend servers that serve others as well: what their parents get.
+//! Nested calls to backend servers that serve other requests as well.
 
 use cherrystream_core::admission::{self, Action, Admission, Arrival, Ticket, Verdict};
 use cherrystream_core::call_times::{self, CallTimes, Given};
@@ -12,48 +12,48 @@
     Timestamp::from_millis(millis)
 }
 
-/// Work of a call, in milliseconds.
+/// Service time of a nested call, in milliseconds.
 const CALL_WORK: u64 = 55;
-/// Work of the other requests, in milliseconds.
+/// Service time of the other requests, in milliseconds.
 const OTHER_WORK: u64 = 220;
-/// Time in which the answer to a call is wanted, and in which it is of use.
+/// Target latency of a nested call, and the time in milliseconds for which its answer is useful.
 const TARGET: Duration = Duration::from_millis(150);
-const OF_USE: u64 = 600;
-/// Time that the way to a call's first door has taken: behind long bodies on a thin link.
-const WAY: u64 = 40;
+const USEFUL_MS: u64 = 600;
+/// Network delay of a nested call before its first offer, in milliseconds.
+const NETWORK_DELAY: u64 = 40;
 const SERVERS: usize = 4;
 
-/// Backend servers with the end of each request that runs.
-struct Play {
-    doors: Vec<Admission>,
+/// Backend servers with the end of each request in flight.
+struct Simulation {
+    admissions: Vec<Admission>,
     ends: Vec<BTreeMap<Ticket, u64>>,
     waiting: Vec<BTreeMap<Ticket, u64>>,
-    /// Others that were let in or wait.
+    /// Other requests that were admitted or queued.
     others: u32,
 }
 
-impl Play {
-    fn new() -> Play {
+impl Simulation {
+    fn new() -> Simulation {
         let opts = admission::Options { slots: 4, queue: 4, ..admission::Options::default() };
-        Play {
-            doors: (0..SERVERS).map(|_| Admission::new(opts)).collect(),
+        Simulation {
+            admissions: (0..SERVERS).map(|_| Admission::new(opts)).collect(),
             ends: vec![BTreeMap::new(); SERVERS],
             waiting: vec![BTreeMap::new(); SERVERS],
             others: 0,
         }
     }
 
-    /// Lets time pass at all doors.
-    fn pass(&mut self, now: u64) {
+    /// Advances the time at all backend servers.
+    fn advance(&mut self, now: u64) {
         for i in 0..SERVERS {
-            let over: Vec<Ticket> =
+            let ended: Vec<Ticket> =
                 self.ends[i].iter().filter(|(_, end)| **end <= now).map(|(t, _)| *t).collect();
             let mut actions = Vec::new();
-            for ticket in over {
+            for ticket in ended {
                 self.ends[i].remove(&ticket);
-                actions.extend(self.doors[i].finish(ms(now), ticket, true));
+                actions.extend(self.admissions[i].finish(ms(now), ticket, true));
             }
-            actions.extend(self.doors[i].tick(ms(now)));
+            actions.extend(self.admissions[i].tick(ms(now)));
             for action in actions {
                 match action {
                     Action::Start(ticket) => {
@@ -67,7 +67,7 @@
     }
 
     fn arrive(&mut self, i: usize, now: u64, arrival: Arrival, work: u64) -> Result<(), Reason> {
-        match self.doors[i].arrive(ms(now), arrival).0 {
+        match self.admissions[i].arrive(ms(now), arrival).0 {
             Verdict::Run(ticket) => drop(self.ends[i].insert(ticket, now + work)),
             Verdict::Wait(ticket) => drop(self.waiting[i].insert(ticket, work)),
             Verdict::Refuse(refusal) => return Err(refusal.reason),
@@ -80,28 +80,31 @@
     Arrival { called: false, weight: 1, deadline, selective: false, good_until: None, usual: None }
 }
 
-/// Makes a call at one backend server after the other, as an outbound does; returns whether its parent gets what it needs.
+/// Offers a nested call to one backend server after the other, as an outbound does; returns whether
+/// one accepts it.
 fn call(
-    play: &mut Play,
+    simulation: &mut Simulation,
     now: u64,
     first: usize,
-    rule: impl Fn(Timestamp, Timestamp, Duration) -> Timestamp,
+    wait_limit: impl Fn(Timestamp, Timestamp, Duration) -> Timestamp,
 ) -> bool {
     let given = Given {
-        now: ms(now - WAY),
+        now: ms(now - NETWORK_DELAY),
         target: TARGET,
         asked_before: Duration::ZERO,
         repeatable: true,
         body_bytes: 0,
         crossing_cost: Duration::ZERO,
     };
-    let patience = CallTimes::new(given).patience.since(ms(now));
-    let until = rule(ms(now), ms(now + OF_USE), patience);
+    let wait = CallTimes::new(given).patience.since(ms(now));
+    let until = wait_limit(ms(now), ms(now + USEFUL_MS), wait);
     let mut budget = RetryBudget::new(0.1);
     let mut allowance = Allowance::new(None);
     for attempts in 1.. {
         let at = (first + attempts as usize) % SERVERS;
-        let Err(reason) = play.arrive(at, now, arrival(until), CALL_WORK) else { return true };
+        let Err(reason) = simulation.arrive(at, now, arrival(until), CALL_WORK) else {
+            return true;
+        };
         let failed = Failed {
             reason,
             attempts,
@@ -117,33 +120,38 @@
     false
 }
 
-/// Plays 8 seconds; returns the parents that get their call, all parents, and the others that are let in.
-fn parents_served(rule: impl Fn(Timestamp, Timestamp, Duration) -> Timestamp) -> (u32, u32, u32) {
-    let mut play = Play::new();
+/// Simulates 8 seconds; returns the accepted nested calls, all of them, and the other accepted
+/// requests.
+fn calls_accepted(
+    wait_limit: impl Fn(Timestamp, Timestamp, Duration) -> Timestamp,
+) -> (u32, u32, u32) {
+    let mut simulation = Simulation::new();
     let (mut served, mut all) = (0, 0);
     for now in 100..8_100 {
-        play.pass(now);
+        simulation.advance(now);
         if now % 17 == 0 {
             let deadline = ms(now + 240);
             let at = (now / 17) as usize % SERVERS;
-            play.others += u32::from(play.arrive(at, now, arrival(deadline), OTHER_WORK).is_ok());
+            simulation.others +=
+                u32::from(simulation.arrive(at, now, arrival(deadline), OTHER_WORK).is_ok());
         }
         if now % 31 == 0 {
             all += 1;
-            served += u32::from(call(&mut play, now, (now / 31) as usize, &rule));
+            served += u32::from(call(&mut simulation, now, (now / 31) as usize, &wait_limit));
         }
     }
-    (served, all, play.others)
+    (served, all, simulation.others)
 }
 
-/// Load: calls come to backend servers that also take work four times as long, and the way there has used up the fifth of
-/// their target in which they may wait. The parents have seconds left.
+/// Guards against refusing nested calls at once: the network delay has used up the time for which
+/// they may wait, while their parents have time left. The backend servers also serve requests that
+/// take four times as long.
 #[test]
-fn a_call_without_time_to_wait_takes_a_slot_that_is_free() {
+fn a_nested_call_without_time_to_wait_gets_a_free_slot() {
     let before = |now: Timestamp, deadline: Timestamp, wait| deadline.min(now + wait);
-    let (refused_at_once, all, others_before) = parents_served(before);
-    assert_eq!(refused_at_once, 0, "of {all}");
-    let (served, all, others) = parents_served(call_times::waits_until);
+    let (accepted_before, all, others_before) = calls_accepted(before);
+    assert_eq!(accepted_before, 0, "of {all}");
+    let (served, all, others) = calls_accepted(call_times::waits_until);
     assert!(f64::from(served) > 0.9 * f64::from(all), "{served} of {all}");
     assert!(
         f64::from(others) > 0.9 * f64::from(others_before),
--- a/crates/cherrystream-core/tests/cold.rs
+++ b/crates/cherrystream-core/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Cold backend servers: what is believed of their warmth, and what they are given.
+//! Warmth of backend servers and the rate limit of cold ones.
 
 use arbtest::arbtest;
 use cherrystream_core::admission::{Action, Admission, Arrival, Options, Ticket, Verdict};
@@ -23,18 +23,18 @@
     ColdLimits::new(17.0, 1.5, 8.0)
 }
 
-/// The bound that `limits` were worked out from.
-const BOUND: usize = 33;
+/// Requests in a second from which `limits` is derived.
+const MAX_IN_A_SECOND: usize = 33;
 
-/// A door to a backend server that got nothing before.
-fn door() -> Admission {
-    let mut door = found_door();
-    door.on_new();
-    door
+/// Admission control of a new instance.
+fn new_admission() -> Admission {
+    let mut admission = inherited_admission();
+    admission.on_new();
+    admission
 }
 
-/// A door to a backend server that another process may have sent requests to.
-fn found_door() -> Admission {
+/// Admission control of an instance that another process may have sent requests to.
+fn inherited_admission() -> Admission {
     let opts = Options { slots: 40, queue: 12, cold: Some(limits()), ..Options::default() };
     Admission::new(opts)
 }
@@ -51,32 +51,35 @@
 }
 
 #[test]
-fn a_server_of_which_nothing_was_heard_counts_as_cold() {
+fn a_server_without_a_valid_report_is_cold() {
     let mut warmth = Warmth::default();
     assert!(warmth.is_cold(at(0)));
     assert!(warmth.start_probe(at(0)));
-    assert!(!warmth.start_probe(at(50)), "one question at a time");
+    assert!(!warmth.start_probe(at(50)), "one probe at a time");
     warmth.on_answer(at(60), Duration::ZERO);
     assert!(!warmth.is_cold(at(60)));
     assert!(!warmth.start_probe(at(500)));
     assert!(warmth.start_probe(at(600)));
-    assert!(warmth.is_cold(at(4_000)), "a word of seconds ago, as after a freeze, is not believed");
+    assert!(
+        warmth.is_cold(at(4_000)),
+        "a report that is seconds old, as after a freeze, is not valid"
+    );
 }
 
 #[test]
-fn a_report_that_was_long_on_its_way_ends_no_cold_time() {
+fn a_delayed_report_does_not_end_a_cold_period() {
     let mut warmth = Warmth::default();
     warmth.on_answer(at(0), ms(3_000));
     warmth.on_report(at(100), 7, Duration::ZERO);
     assert!(warmth.is_cold(at(2_900)));
-    // The one before comes after it, and is overtaken.
+    // An older report that arrives later is discarded.
     warmth.on_answer(at(3_000), Duration::ZERO);
     warmth.on_report(at(3_100), 6, ms(3_000));
     assert!(!warmth.is_cold(at(3_100)));
 }
 
 #[test]
-fn a_server_that_becomes_cold_without_a_new_run_is_noticed_by_the_next_answer() {
+fn a_server_that_becomes_cold_without_a_restart_is_detected_by_the_next_health_response() {
     let mut warmth = Warmth::default();
     warmth.on_answer(at(0), Duration::ZERO);
     warmth.doubt();
@@ -86,66 +89,66 @@
 }
 
 #[test]
-fn what_a_cold_server_cannot_take_in_time_is_refused_at_once() {
-    let mut door = door();
-    door.warmth().on_answer(at(0), ms(3_000));
+fn requests_that_a_cold_server_cannot_start_in_time_are_refused_at_once() {
+    let mut admission = new_admission();
+    admission.warmth().on_answer(at(0), ms(3_000));
     let mut refused = 0;
     for _ in 0..50 {
-        match door.arrive(at(0), arrival(at(0), false, ms(100))).0 {
+        match admission.arrive(at(0), arrival(at(0), false, ms(100))).0 {
             Verdict::Refuse(refusal) => {
                 assert_eq!(refusal.reason, Reason::ServerCold);
-                // It comes back when there may be room, not before.
+                // A retry is useful only once the window has free capacity.
                 assert!(refusal.retry_after > ms(100), "{:?}", refusal.retry_after);
                 refused += 1;
             }
             Verdict::Run(_) | Verdict::Wait(_) => {}
         }
     }
-    assert_eq!(refused, 50 - 32, "of 50 were refused");
+    assert_eq!(refused, 50 - 32, "refused of 50 requests");
 }
 
 #[test]
-fn calls_by_running_requests_have_the_first_turns_of_a_cold_server() {
-    let mut door = door();
-    door.warmth().on_answer(at(0), ms(3_000));
+fn nested_calls_go_first_at_a_cold_server() {
+    let mut admission = new_admission();
+    admission.warmth().on_answer(at(0), ms(3_000));
     let mut last = Verdict::Run(Ticket(0));
     while let Verdict::Run(ticket) = last {
-        door.on_sent(at(0), ticket);
-        last = door.arrive(at(0), arrival(at(0), false, ms(1_500))).0;
+        admission.on_sent(at(0), ticket);
+        last = admission.arrive(at(0), arrival(at(0), false, ms(1_500))).0;
     }
-    let called = door.arrive(at(0), arrival(at(0), true, ms(1_500))).0;
+    let called = admission.arrive(at(0), arrival(at(0), true, ms(1_500))).0;
     let Verdict::Wait(called) = called else { panic!("{called:?}") };
-    let started = (0..1_200).find_map(|ms| door.tick(at(ms)).first().copied());
+    let started = (0..1_200).find_map(|ms| admission.tick(at(ms)).first().copied());
     assert_eq!(started, Some(Action::Start(called)));
 }
 
 #[test]
-fn a_process_that_cannot_know_what_was_sent_before_it_sends_a_cold_server_nothing_in_its_first_second()
- {
-    let mut door = found_door();
-    door.warmth().on_answer(at(300), ms(3_000));
-    let Verdict::Refuse(refusal) = door.arrive(at(300), arrival(at(300), false, ms(100))).0 else {
-        panic!("it was let in");
+fn a_restarted_process_sends_nothing_to_a_cold_server_in_its_first_second() {
+    let mut admission = inherited_admission();
+    admission.warmth().on_answer(at(300), ms(3_000));
+    let Verdict::Refuse(refusal) = admission.arrive(at(300), arrival(at(300), false, ms(100))).0
+    else {
+        panic!("the request was admitted");
     };
     assert_eq!((refusal.reason, refusal.retry_after), (Reason::ServerCold, ms(750)));
-    let verdict = door.arrive(at(1_050), arrival(at(1_050), false, ms(100))).0;
+    let verdict = admission.arrive(at(1_050), arrival(at(1_050), false, ms(100))).0;
     assert!(matches!(verdict, Verdict::Run(_)), "{verdict:?}");
 }
 
 #[test]
-fn a_warm_server_has_no_pace() {
-    let mut door = door();
-    door.warmth().on_answer(at(0), Duration::ZERO);
+fn a_warm_server_has_no_rate_limit() {
+    let mut admission = new_admission();
+    admission.warmth().on_answer(at(0), Duration::ZERO);
     for _ in 0..40 {
-        let verdict = door.arrive(at(0), arrival(at(0), false, SECOND)).0;
+        let verdict = admission.arrive(at(0), arrival(at(0), false, SECOND)).0;
         assert!(matches!(verdict, Verdict::Run(_)), "{verdict:?}");
     }
 }
 
-/// Sends that wait to leave, and those that left, in one schedule.
+/// Requests of one schedule: in flight, admitted but not sent, and send times.
 #[derive(Default)]
 struct Schedule {
-    inside: Vec<Ticket>,
+    in_flight: Vec<Ticket>,
     unsent: VecDeque<Ticket>,
     sent: Vec<Timestamp>,
 }
@@ -159,14 +162,14 @@
         }
     }
 
-    fn send(&mut self, door: &mut Admission, now: Timestamp, ticket: Ticket) {
-        door.on_sent(now, ticket);
-        self.inside.push(ticket);
+    fn send(&mut self, admission: &mut Admission, now: Timestamp, ticket: Ticket) {
+        admission.on_sent(now, ticket);
+        self.in_flight.push(ticket);
         self.sent.push(now);
     }
 
-    /// Returns the most sends in a second.
-    fn most_in_a_second(&self) -> usize {
+    /// Returns the largest number of requests sent in a second.
+    fn max_in_a_second(&self) -> usize {
         let within = |from: usize| {
             self.sent[from..].iter().take_while(|at| at.since(self.sent[from]) < SECOND).count()
         };
@@ -174,81 +177,83 @@
     }
 }
 
-/// Whatever comes in by whatever way, and whenever it leaves: a cold backend server gets no more than its bound in any
-/// second.
+/// Guards against exceeding the limit in any second, for random arrivals, delays before sending and
+/// ends of requests.
 #[test]
-fn no_schedule_sends_a_cold_server_more_than_its_bound() {
+fn no_schedule_exceeds_the_limit_of_a_cold_server() {
     arbtest(|u| {
-        let mut door = door();
+        let mut admission = new_admission();
         let mut schedule = Schedule::default();
         let mut now = at(0);
         while !u.is_empty() {
             now = now + Duration::from_millis(u.int_in_range(0..=40)?);
-            door.warmth().on_answer(now, ms(3_000));
+            admission.warmth().on_answer(now, ms(3_000));
             match u.int_in_range(0..=5)? {
                 0..=2 => {
                     let wait = ms(u.int_in_range(1..=800)?);
-                    let asked = Arrival {
+                    let request = Arrival {
                         selective: u.arbitrary()?,
                         weight: u.int_in_range(0..=3)?,
                         ..arrival(now, u.arbitrary()?, wait)
                     };
-                    let (verdict, actions) = door.arrive(now, asked);
+                    let (verdict, actions) = admission.arrive(now, request);
                     if let Verdict::Run(ticket) = verdict {
                         schedule.unsent.push_back(ticket);
                     }
                     schedule.start(actions);
                 }
                 3 => {
-                    // All that were let in leave together, as after a freeze or a wait for their bodies.
+                    // All admitted requests are sent together, as after a freeze or a wait for
+                    // their bodies.
                     while let Some(ticket) = schedule.unsent.pop_front() {
-                        schedule.send(&mut door, now, ticket);
+                        schedule.send(&mut admission, now, ticket);
                     }
                 }
                 4 => {
-                    if let Some(ticket) = schedule.inside.pop() {
-                        let actions = door.finish(now, ticket, true);
+                    if let Some(ticket) = schedule.in_flight.pop() {
+                        let actions = admission.finish(now, ticket, true);
                         schedule.start(actions);
                     }
                 }
                 _ => {
-                    let actions = door.tick(now);
+                    let actions = admission.tick(now);
                     schedule.start(actions);
                 }
             }
         }
-        let most = schedule.most_in_a_second();
-        assert!(most <= BOUND, "{most} in a second");
+        let most = schedule.max_in_a_second();
+        assert!(most <= MAX_IN_A_SECOND, "{most} in a second");
         Ok(())
     })
     .budget_ms(2_000);
 }
 
-/// A backend server that falls over when it gets more than it bears in a second while it is cold.
-struct Fragile {
-    door: Admission,
+/// A backend server that crashes when it gets more requests in a second than its limit while it is
+/// cold.
+struct CrashingServer {
+    admission: Admission,
     cold_until: Timestamp,
     back_at: Timestamp,
-    arrived: Vec<Timestamp>,
+    arrivals: Vec<Timestamp>,
     runs: Vec<(Timestamp, Ticket)>,
-    falls: u32,
+    crashes: u32,
 }
 
-impl Fragile {
+impl CrashingServer {
     const COLD: Duration = Duration::from_secs(3);
     const AWAY: Duration = Duration::from_secs(1);
-    /// Time of work when cold, and when warm.
+    /// Service times when cold and when warm.
     const WORK: (Duration, Duration) = (Duration::from_millis(125), Duration::from_millis(64));
 
-    fn new(cold: Option<ColdLimits>, power: Timestamp) -> Fragile {
+    fn new(cold: Option<ColdLimits>, power: Timestamp) -> CrashingServer {
         let opts = Options { slots: 12, queue: 12, share: 0.8, cold, ..Options::default() };
-        let mut server = Fragile {
-            door: Admission::new(opts),
+        let mut server = CrashingServer {
+            admission: Admission::new(opts),
             cold_until: power,
             back_at: power,
-            arrived: Vec::new(),
+            arrivals: Vec::new(),
             runs: Vec::new(),
-            falls: 0,
+            crashes: 0,
         };
         server.return_cold(power);
         server
@@ -257,43 +262,43 @@
     fn return_cold(&mut self, now: Timestamp) {
         self.cold_until = now + Self::COLD;
         self.back_at = now;
-        self.arrived.clear();
-        self.door.on_new();
-        self.door.warmth().on_answer(now, Self::COLD);
+        self.arrivals.clear();
+        self.admission.on_new();
+        self.admission.warmth().on_answer(now, Self::COLD);
     }
 
     fn run(&mut self, now: Timestamp, ticket: Ticket) {
-        self.door.on_sent(now, ticket);
-        self.arrived.push(now);
+        self.admission.on_sent(now, ticket);
+        self.arrivals.push(now);
         let is_cold = now < self.cold_until;
         let work = if is_cold { Self::WORK.0 } else { Self::WORK.1 };
         self.runs.push((now + work, ticket));
-        let lately = self.arrived.iter().filter(|at| now.since(**at) < SECOND).count();
-        if is_cold && lately > BOUND {
-            self.fall(now);
+        let recent = self.arrivals.iter().filter(|at| now.since(**at) < SECOND).count();
+        if is_cold && recent > MAX_IN_A_SECOND {
+            self.crash(now);
         }
     }
 
-    fn fall(&mut self, now: Timestamp) {
-        self.falls += 1;
+    fn crash(&mut self, now: Timestamp) {
+        self.crashes += 1;
         for (_, ticket) in std::mem::take(&mut self.runs) {
-            self.door.finish(now, ticket, false);
+            self.admission.finish(now, ticket, false);
         }
         self.return_cold(now + Self::AWAY);
     }
 
-    /// Lets a millisecond pass; returns how many requests were answered.
+    /// Advances by a millisecond; returns the number of answered requests.
     fn step(&mut self, now: Timestamp) -> usize {
-        if now >= self.back_at && self.door.wants_warmth(now) {
-            self.door.warmth().on_answer(now, self.cold_until.since(now));
+        if now >= self.back_at && self.admission.wants_warmth(now) {
+            self.admission.warmth().on_answer(now, self.cold_until.since(now));
         }
         let (ended, runs): (Vec<_>, Vec<_>) = self.runs.drain(..).partition(|(end, _)| *end <= now);
         self.runs = runs;
         let mut actions = Vec::new();
         for (_, ticket) in &ended {
-            actions.extend(self.door.finish(now, *ticket, true));
+            actions.extend(self.admission.finish(now, *ticket, true));
         }
-        actions.extend(self.door.tick(now));
+        actions.extend(self.admission.tick(now));
         for action in actions {
             if let Action::Start(ticket) = action {
                 self.run(now, ticket);
@@ -302,41 +307,41 @@
         ended.len()
     }
 
-    fn ask(&mut self, now: Timestamp) {
+    fn request(&mut self, now: Timestamp) {
         if now < self.back_at {
             return;
         }
-        if let Verdict::Run(ticket) = self.door.arrive(now, arrival(now, false, ms(40))).0 {
+        if let Verdict::Run(ticket) = self.admission.arrive(now, arrival(now, false, ms(40))).0 {
             self.run(now, ticket);
         }
     }
 }
 
-/// Requests answered in the ten seconds after the return of power, and how often the backend server fell over: 52
-/// requests a second, three times what a cold one works off.
-fn ten_seconds_after_the_return(cold: Option<ColdLimits>) -> (usize, u32) {
+/// Returns the requests answered in the ten seconds after the return of power and the number of
+/// crashes, at a load of three times the rate of a cold server.
+fn serve_ten_seconds_after_power_returns(cold: Option<ColdLimits>) -> (usize, u32) {
     let power = at(2_000);
-    let mut server = Fragile::new(cold, power);
+    let mut server = CrashingServer::new(cold, power);
     let mut answered = 0;
     for step in 0..10_000_u64 {
         let now = power + ms(step);
         if step % 19 == 0 {
-            server.ask(now);
+            server.request(now);
         }
         answered += server.step(now);
     }
-    (answered, server.falls)
+    (answered, server.crashes)
 }
 
-/// Without a bound the backend server falls over again and again, for it comes back cold: 166 of 527 requests were answered, with six falls.
-/// With it, it serves what it can while it is cold and all that comes when it is warm: 461, with none.
+/// Guards against repeated crashes after a power loss: without the limit the backend server returns
+/// cold and crashes again.
 #[test]
-fn a_service_comes_back_after_a_loss_of_power() {
-    let (without, falls) = ten_seconds_after_the_return(None);
-    let (with, none) = ten_seconds_after_the_return(Some(limits()));
-    println!("without a bound {without} answered, {falls} falls; with it {with}");
-    assert!(falls >= 3, "{falls}");
-    assert_eq!(none, 0);
+fn a_service_recovers_after_a_power_loss() {
+    let (without, crashes) = serve_ten_seconds_after_power_returns(None);
+    let (with, crashes_with) = serve_ten_seconds_after_power_returns(Some(limits()));
+    println!("without a limit {without} answered, {crashes} crashes; with it {with}");
+    assert!(crashes >= 3, "{crashes}");
+    assert_eq!(crashes_with, 0);
     assert!(with > 430, "{with}");
-    assert!(with > 2 * without, "{with} after {without}");
+    assert!(with > 2 * without, "{with} with the limit, {without} without");
 }
--- a/crates/cherrystream-core/tests/decisions.rs
+++ b/crates/cherrystream-core/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Golden files of whole sessions: the door, choosing, retries, measuring.
+//! Golden files of whole sessions: admission, choosing, retries, health checks.
 
 mod session;
 
@@ -23,7 +23,7 @@
         share: 1.0,
         cold: None,
     };
-    let mut door = Admission::new(opts);
+    let mut admission = Admission::new(opts);
     let mut s = Session::default();
     let arrival = |weight, deadline| Arrival {
         called: false,
@@ -33,22 +33,31 @@
         good_until: None,
         usual: None,
     };
-    s.event("first", door.arrive(ms(0), arrival(1, 1_000)));
-    s.event("second", door.arrive(ms(1), arrival(1, 1_000)));
-    s.event("third waits", door.arrive(ms(2), arrival(1, 1_000)));
-    s.event("one with a passed deadline", door.arrive(ms(3), arrival(1, 3)));
-    s.event("one that could not wait long enough", door.arrive(ms(3), arrival(1, 4)));
-    s.event("fourth waits", door.arrive(ms(4), arrival(1, 50)));
-    s.event("the queue is full", door.arrive(ms(5), arrival(1, 1_000)));
-    s.event("a heavier one takes a place", door.arrive(ms(6), arrival(5, 1_000)));
-    s.event("the first ends: the heavier starts", door.finish(ms(9), Ticket(1), true));
-    s.event("report", door.report(ms(10), 500));
-    s.event("it drains", door.set_state(ms(11), ServerState::Draining));
-    s.event("new work", door.arrive(ms(12), arrival(9, 1_000)));
-    s.event("what runs ends", door.finish(ms(13), Ticket(2), true));
-    s.event("it is back", door.set_state(ms(20), ServerState::Live));
-    s.event("half the ramp later", door.report(ms(1_020), 500));
-    s.event("after the ramp", door.report(ms(2_020), 500));
+    s.event("first", admission.arrive(ms(0), arrival(1, 1_000)));
+    s.event("second", admission.arrive(ms(1), arrival(1, 1_000)));
+    s.event("third waits", admission.arrive(ms(2), arrival(1, 1_000)));
+    s.event("one with an expired deadline", admission.arrive(ms(3), arrival(1, 3)));
+    s.event(
+        "one whose deadline is shorter than the queueing delay",
+        admission.arrive(ms(3), arrival(1, 4)),
+    );
+    s.event("fourth waits", admission.arrive(ms(4), arrival(1, 50)));
+    s.event("the queue is full", admission.arrive(ms(5), arrival(1, 1_000)));
+    s.event(
+        "one of a higher weight replaces it in the queue",
+        admission.arrive(ms(6), arrival(5, 1_000)),
+    );
+    s.event(
+        "the first ends: the one of a higher weight starts",
+        admission.finish(ms(9), Ticket(1), true),
+    );
+    s.event("report", admission.report(ms(10), 500));
+    s.event("the backend server drains", admission.set_state(ms(11), ServerState::Draining));
+    s.event("a new request", admission.arrive(ms(12), arrival(9, 1_000)));
+    s.event("the running one ends", admission.finish(ms(13), Ticket(2), true));
+    s.event("the backend server is live again", admission.set_state(ms(20), ServerState::Live));
+    s.event("half of the slow start later", admission.report(ms(1_020), 500));
+    s.event("after the slow start", admission.report(ms(2_020), 500));
     insta::assert_snapshot!(s.0);
 }
 
@@ -195,10 +204,10 @@
     }
     let mut health = Health::default();
     s.event("a check fails", health.on_check(Check::Failed));
-    s.event("the next is good", health.on_check(Check::Said(ServerState::Live)));
+    s.event("the next succeeds", health.on_check(Check::Said(ServerState::Live)));
     s.event("a check fails", health.on_check(Check::Failed));
-    s.event("and another", health.on_check(Check::Failed));
-    s.event("it starts", health.on_check(Check::Said(ServerState::Starting)));
-    s.event("it drains", health.on_check(Check::Said(ServerState::Draining)));
+    s.event("a second check in a row fails", health.on_check(Check::Failed));
+    s.event("the backend server starts", health.on_check(Check::Said(ServerState::Starting)));
+    s.event("the backend server drains", health.on_check(Check::Said(ServerState::Draining)));
     insta::assert_snapshot!(s.0);
 }
--- a/crates/cherrystream-core/tests/fair_shares.rs
+++ b/crates/cherrystream-core/tests/fair_shares.rs
@@ -1,4 +1,4 @@
-//! Doors with too little room: who is let in, and for whose sake others are turned down.
+//! Fair shares of workspaces when backend servers are overloaded.
 
 use arbtest::arbtest;
 use cherrystream_core::admission::{
@@ -16,12 +16,12 @@
     Timestamp::from_millis(millis)
 }
 
-fn door(slots: u32, queue: u32) -> Admission {
+fn new_admission(slots: u32, queue: u32) -> Admission {
     let ramp = Duration::ZERO;
     Admission::new(admission::Options { slots, queue, ramp, share: 1.0, cold: None })
 }
 
-fn sharer(workspace: &str, share: Option<f64>) -> Sharer {
+fn flow(workspace: &str, share: Option<f64>) -> Sharer {
     Sharer { workspace: workspace.into(), share }
 }
 
@@ -31,7 +31,7 @@
     Arrival { called: false, weight, deadline, selective: false, good_until: None, usual }
 }
 
-/// A workspace with the requests that it sends a second, and how it is treated.
+/// A workspace with its load, share and weight.
 #[derive(Clone, Copy)]
 struct Sender {
     name: &'static str,
@@ -40,102 +40,103 @@
     weight: u32,
 }
 
-/// A request on its way through doors.
+/// A request that is offered to the backend servers.
 #[derive(Clone, Copy)]
 struct Sent {
     sender: usize,
     at: u64,
-    repeats: u32,
+    retries: u32,
 }
 
-/// What a workspace got.
+/// Requests that a workspace sent, and those answered in time.
 #[derive(Clone, Copy, Debug, Default)]
-struct Got {
+struct Served {
     sent: u32,
     in_time: u32,
 }
 
-impl Got {
+impl Served {
     fn share(self) -> f64 {
         f64::from(self.in_time) / f64::from(self.sent.max(1))
     }
 }
 
-const DOORS: usize = 4;
+const SERVERS: usize = 4;
 const WORK_MS: u64 = 300;
 const TARGET_MS: u64 = 600;
-const PATIENCE_MS: u64 = 120;
-const REPEATS: u32 = 1;
+const MAX_WAIT_MS: u64 = 120;
+const MAX_RETRIES: u32 = 1;
 
-/// Four doors of four slots each, which serve some 53 requests a second.
-struct Play {
-    doors: Vec<Admission>,
+/// Four backend servers of four slots each, with a throughput of some 53 requests per second.
+struct Simulation {
+    admissions: Vec<Admission>,
     senders: Vec<Sender>,
-    got: Vec<Got>,
-    shares: bool,
+    served: Vec<Served>,
+    fair: bool,
     rng: SmallRng,
     waiting: Vec<BTreeMap<Ticket, Sent>>,
     ends: BTreeMap<u64, Vec<(usize, Ticket, Sent)>>,
-    comes_back: BTreeMap<u64, Vec<Sent>>,
+    retries: BTreeMap<u64, Vec<Sent>>,
 }
 
-impl Play {
-    fn new(senders: &[Sender], shares: bool, seed: u64) -> Play {
-        Play {
-            doors: (0..DOORS).map(|_| door(4, 6)).collect(),
+impl Simulation {
+    fn new(senders: &[Sender], fair: bool, seed: u64) -> Simulation {
+        Simulation {
+            admissions: (0..SERVERS).map(|_| new_admission(4, 6)).collect(),
             senders: senders.to_vec(),
-            got: vec![Got::default(); senders.len()],
-            shares,
+            served: vec![Served::default(); senders.len()],
+            fair,
             rng: SmallRng::seed_from_u64(seed),
-            waiting: vec![BTreeMap::new(); DOORS],
+            waiting: vec![BTreeMap::new(); SERVERS],
             ends: BTreeMap::new(),
-            comes_back: BTreeMap::new(),
+            retries: BTreeMap::new(),
         }
     }
 
-    fn run(mut self, seconds: u64) -> Vec<Got> {
+    fn run(mut self, seconds: u64) -> Vec<Served> {
         for at in 1..seconds * 1_000 {
             self.end(at);
-            for sent in self.comes_back.remove(&at).unwrap_or_default() {
+            for sent in self.retries.remove(&at).unwrap_or_default() {
                 self.offer(at, sent);
             }
             for sender in 0..self.senders.len() {
                 if self.rng.random_bool(self.senders[sender].per_second / 1_000.0) {
-                    self.got[sender].sent += 1;
-                    self.offer(at, Sent { sender, at, repeats: 0 });
+                    self.served[sender].sent += 1;
+                    self.offer(at, Sent { sender, at, retries: 0 });
                 }
             }
         }
-        self.got
+        self.served
     }
 
     fn end(&mut self, at: u64) {
-        for (door, ticket, sent) in self.ends.remove(&at).unwrap_or_default() {
-            self.got[sent.sender].in_time += u32::from(at - sent.at <= TARGET_MS);
-            let actions = self.doors[door].finish(ms(at), ticket, true);
-            self.act(at, door, actions);
+        for (server, ticket, sent) in self.ends.remove(&at).unwrap_or_default() {
+            self.served[sent.sender].in_time += u32::from(at - sent.at <= TARGET_MS);
+            let actions = self.admissions[server].finish(ms(at), ticket, true);
+            self.act(at, server, actions);
         }
-        for door in 0..DOORS {
-            let actions = self.doors[door].tick(ms(at));
-            self.act(at, door, actions);
+        for server in 0..SERVERS {
+            let actions = self.admissions[server].tick(ms(at));
+            self.act(at, server, actions);
         }
     }
 
-    /// Offers a request where it is served at once, then has it wait at one door.
+    /// Offers a request to each backend server in turn, then queues it at one.
     fn offer(&mut self, at: u64, sent: Sent) {
-        let order = index::sample(&mut self.rng, DOORS, DOORS).into_vec();
-        let arrive = |play: &mut Play, door: usize, selective: bool| {
-            let Sender { name, share, weight, .. } = play.senders[sent.sender];
+        let order = index::sample(&mut self.rng, SERVERS, SERVERS).into_vec();
+        let arrive = |simulation: &mut Simulation, server: usize, selective: bool| {
+            let Sender { name, share, weight, .. } = simulation.senders[sent.sender];
             let good_until = Some(ms(sent.at + TARGET_MS));
-            let arrival = Arrival { selective, good_until, ..waiting(weight, at + PATIENCE_MS) };
-            let sharer = play.shares.then(|| sharer(name, share));
-            let (verdict, actions) = play.doors[door].arrive_for(ms(at), arrival, sharer.as_ref());
-            play.act(at, door, actions);
+            let arrival = Arrival { selective, good_until, ..waiting(weight, at + MAX_WAIT_MS) };
+            let flow = simulation.fair.then(|| flow(name, share));
+            let (verdict, actions) =
+                simulation.admissions[server].arrive_for(ms(at), arrival, flow.as_ref());
+            simulation.act(at, server, actions);
             verdict
         };
-        for door in &order {
-            if let Verdict::Run(ticket) = arrive(self, *door, true) {
-                return self.start(at, *door, ticket, sent);
+        for server in &order {
+            if let Verdict::Run(ticket) = arrive(self, *server, true) {
+                return self.start(at, *server, ticket, sent);
             }
         }
         match arrive(self, order[0], false) {
@@ -143,32 +144,32 @@
             Verdict::Wait(ticket) => {
                 self.waiting[order[0]].insert(ticket, sent);
             }
-            Verdict::Refuse(_) => self.refused(at, sent),
+            Verdict::Refuse(_) => self.on_refusal(at, sent),
         }
     }
 
-    fn start(&mut self, at: u64, door: usize, ticket: Ticket, sent: Sent) {
+    fn start(&mut self, at: u64, server: usize, ticket: Ticket, sent: Sent) {
         let work = self.rng.random_range(WORK_MS / 2..WORK_MS * 3 / 2);
-        self.ends.entry(at + work).or_default().push((door, ticket, sent));
+        self.ends.entry(at + work).or_default().push((server, ticket, sent));
     }
 
-    fn refused(&mut self, at: u64, sent: Sent) {
-        if sent.repeats < REPEATS {
-            let again = Sent { repeats: sent.repeats + 1, ..sent };
-            self.comes_back.entry(at + 50).or_default().push(again);
+    fn on_refusal(&mut self, at: u64, sent: Sent) {
+        if sent.retries < MAX_RETRIES {
+            let again = Sent { retries: sent.retries + 1, ..sent };
+            self.retries.entry(at + 50).or_default().push(again);
         }
     }
 
-    fn act(&mut self, at: u64, door: usize, actions: Vec<Action>) {
+    fn act(&mut self, at: u64, server: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Start(ticket) => {
-                    let sent = self.waiting[door].remove(&ticket).unwrap();
-                    self.start(at, door, ticket, sent);
+                    let sent = self.waiting[server].remove(&ticket).unwrap();
+                    self.start(at, server, ticket, sent);
                 }
                 Action::Refuse(ticket, _) => {
-                    let sent = self.waiting[door].remove(&ticket).unwrap();
-                    self.refused(at, sent);
+                    let sent = self.waiting[server].remove(&ticket).unwrap();
+                    self.on_refusal(at, sent);
                 }
             }
         }
@@ -177,7 +178,7 @@
 
 const NAMES: [&str; 12] = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"];
 
-/// Twelve workspaces that send three requests a second each, which the doors serve with ease.
+/// Twelve workspaces of three requests per second each, well within the capacity.
 fn calm() -> Vec<Sender> {
     let sender = |name| Sender { name, per_second: 3.0, share: Some(4.0), weight: 10 };
     NAMES.into_iter().map(sender).collect()
@@ -189,17 +190,18 @@
     senders
 }
 
-fn mean(got: &[Got]) -> f64 {
-    got.iter().map(|got| got.share()).sum::<f64>() / got.len() as f64
+fn mean(served: &[Served]) -> f64 {
+    served.iter().map(|served| served.share()).sum::<f64>() / served.len() as f64
 }
 
-/// Served in time: the hot workspace, the mean of the others, the one of these with the least.
-fn who_gets_what(senders: &[Sender], shares: bool) -> [f64; 3] {
+/// Returns the shares answered in time: of the hot workspace, the mean of the others and the lowest
+/// of the others.
+fn served_in_time(senders: &[Sender], fair: bool) -> [f64; 3] {
     let mut sum = [0.0; 3];
     for seed in 1..=4 {
-        let got = Play::new(senders, shares, seed).run(40);
-        let least = got[1..].iter().map(|got| got.share()).fold(1.0, f64::min);
-        for (sum, share) in sum.iter_mut().zip([got[0].share(), mean(&got[1..]), least]) {
+        let served = Simulation::new(senders, fair, seed).run(40);
+        let least = served[1..].iter().map(|served| served.share()).fold(1.0, f64::min);
+        for (sum, share) in sum.iter_mut().zip([served[0].share(), mean(&served[1..]), least]) {
             *sum += share / 4.0;
         }
     }
@@ -207,58 +209,61 @@
 }
 
 #[test]
-fn a_workspace_within_its_usual_load_is_served_as_on_a_calm_day_beside_a_hot_one() {
-    let [_, calm_mean, calm_least] = who_gets_what(&calm(), true);
-    let [hot_own, hot_mean, hot_least] = who_gets_what(&hot(10.0), true);
-    let [_, without, _] = who_gets_what(&hot(10.0), false);
+fn a_hot_workspace_does_not_reduce_the_service_of_others() {
+    let [_, calm_mean, calm_least] = served_in_time(&calm(), true);
+    let [hot_own, hot_mean, hot_least] = served_in_time(&hot(10.0), true);
+    let [_, without, _] = served_in_time(&hot(10.0), false);
     println!(
         "calm {calm_mean:.3} {calm_least:.3}, hot {hot_own:.3} {hot_mean:.3} {hot_least:.3}, without {without:.3}"
     );
     assert!(hot_mean > calm_mean - 0.03, "{hot_mean} beside {calm_mean}");
     assert!(hot_least > calm_least - 0.06, "{hot_least} beside {calm_least}");
-    assert!(without < calm_mean - 0.1, "the load does not show the fault: {without}");
-    assert!(hot_own > mean_room_left(), "the hot one is starved: {hot_own}");
+    assert!(
+        without < calm_mean - 0.1,
+        "without fair shares the others are not affected: {without}"
+    );
+    assert!(hot_own > mean_capacity_left(), "the hot workspace is starved: {hot_own}");
 }
 
-/// Half of the part of the hot workspace's requests for which the others leave room.
-fn mean_room_left() -> f64 {
-    let room = (DOORS * 4) as f64 * 1_000.0 / WORK_MS as f64;
+/// Returns half of the share of the hot workspace's requests that the others leave capacity for.
+fn mean_capacity_left() -> f64 {
+    let capacity = (SERVERS * 4) as f64 * 1_000.0 / WORK_MS as f64;
     let others = 11.0 * 3.0;
-    0.5 * (room - others) / 30.0
+    0.5 * (capacity - others) / 30.0
 }
 
 #[test]
-fn a_large_workspace_within_its_rate_is_not_crowded_out_by_small_ones() {
+fn small_workspaces_do_not_crowd_out_a_large_one_within_its_rate() {
     let mut senders = calm();
     senders[0] = Sender { per_second: 24.0, share: Some(30.0), ..senders[0] };
     for small in &mut senders[1..] {
         small.per_second = 6.0;
     }
-    let [large, small, _] = who_gets_what(&senders, true);
-    let [_, without, _] = who_gets_what(&senders, false);
+    let [large, small, _] = served_in_time(&senders, true);
+    let [_, without, _] = served_in_time(&senders, false);
     println!("large {large:.3}, small {small:.3}, without {without:.3}");
     assert!(large > small + 0.1, "{large} beside {small}");
     assert!(small > 0.4, "{small}");
 }
 
 #[test]
-fn urgent_requests_are_served_more_often_than_less_urgent_ones_and_none_is_starved() {
+fn urgent_requests_are_served_more_often_and_others_are_not_starved() {
     let mut senders = calm();
     for (i, sender) in senders.iter_mut().enumerate() {
         sender.per_second = 8.0;
         sender.weight = if i % 2 == 0 { 1_000 } else { 999 };
     }
-    let got = Play::new(&senders, true, 5).run(60);
-    let urgent: Vec<Got> = (0..6).map(|i| got[2 * i]).collect();
-    let lesser: Vec<Got> = (0..6).map(|i| got[2 * i + 1]).collect();
+    let served = Simulation::new(&senders, true, 5).run(60);
+    let urgent: Vec<Served> = (0..6).map(|i| served[2 * i]).collect();
+    let lesser: Vec<Served> = (0..6).map(|i| served[2 * i + 1]).collect();
     let (urgent, lesser) = (mean(&urgent), mean(&lesser));
     println!("urgent {urgent:.3}, lesser {lesser:.3}");
     assert!(urgent > lesser + 0.2, "{urgent} beside {lesser}");
     assert!(lesser > 0.25 * (urgent + lesser) / 2.0, "{lesser} is starved beside {urgent}");
 }
 
-/// Whatever the others send, a workspace that sends no more than its rate is served at least as often as all are, but
-/// for chance; none is served under a quarter as often.
+/// Guards against starvation: a workspace within its rate is served at least as often as the
+/// average but for chance, and none less than a quarter as often.
 #[test]
 fn no_workspace_is_starved_whatever_the_others_send() {
     arbtest(|u| {
@@ -266,12 +271,12 @@
         for sender in &mut senders {
             sender.per_second = f64::from(u.int_in_range(1..=30)?);
         }
-        let got = Play::new(&senders, true, u.arbitrary()?).run(40);
-        let sent: u32 = got.iter().map(|got| got.sent).sum();
-        let in_time: u32 = got.iter().map(|got| got.in_time).sum();
+        let served = Simulation::new(&senders, true, u.arbitrary()?).run(40);
+        let sent: u32 = served.iter().map(|served| served.sent).sum();
+        let in_time: u32 = served.iter().map(|served| served.in_time).sum();
         let all = f64::from(in_time) / f64::from(sent);
-        for (sender, got) in senders.iter().zip(&got) {
-            let share = got.share();
+        for (sender, served) in senders.iter().zip(&served) {
+            let share = served.share();
             assert!(share > 0.25 * all, "{} of {all}: {share}", sender.name);
             let within = sender.per_second <= 4.0;
             assert!(!within || share > all - 0.05, "{} of {all}: {share}", sender.name);
@@ -281,7 +286,7 @@
     .budget_ms(4_000);
 }
 
-fn refused(actions: &[Action]) -> Vec<(Ticket, Reason)> {
+fn refusals(actions: &[Action]) -> Vec<(Ticket, Reason)> {
     let reason = |action: &Action| match action {
         Action::Refuse(ticket, Refusal { reason, .. }) => Some((*ticket, *reason)),
         Action::Start(_) => None,
@@ -290,106 +295,107 @@
 }
 
 #[test]
-fn the_workspace_that_has_had_the_most_leaves_the_queue_and_is_told_why() {
-    let mut door = door(1, 1);
-    let [hot, other] = ["hot", "other"].map(|name| sharer(name, None));
-    let arrive = |door: &mut Admission, at, sharer| {
-        door.arrive_for(ms(at), waiting(1, 10_000), Some(sharer))
+fn the_workspace_with_the_most_usage_is_shed_first_with_the_reason() {
+    let mut admission = new_admission(1, 1);
+    let [hot, other] = ["hot", "other"].map(|name| flow(name, None));
+    let arrive = |admission: &mut Admission, at, flow| {
+        admission.arrive_for(ms(at), waiting(1, 10_000), Some(flow))
     };
-    assert!(matches!(arrive(&mut door, 1, &hot).0, Verdict::Run(_)));
-    let Verdict::Wait(shed) = arrive(&mut door, 2, &hot).0 else { panic!() };
-    let (verdict, actions) = arrive(&mut door, 3, &other);
+    assert!(matches!(arrive(&mut admission, 1, &hot).0, Verdict::Run(_)));
+    let Verdict::Wait(shed) = arrive(&mut admission, 2, &hot).0 else { panic!() };
+    let (verdict, actions) = arrive(&mut admission, 3, &other);
     assert!(matches!(verdict, Verdict::Wait(_)));
-    assert_eq!(refused(&actions), [(shed, Reason::ShareUsed)]);
-    // What a rank decides is not a matter of shares.
-    let (_, actions) = door.arrive_for(ms(4), waiting(2, 10_000), Some(&hot));
-    assert_eq!(refused(&actions)[0].1, Reason::ShedByWeight);
+    assert_eq!(refusals(&actions), [(shed, Reason::ShareUsed)]);
+    // Between different ranks, shares don't matter.
+    let (_, actions) = admission.arrive_for(ms(4), waiting(2, 10_000), Some(&hot));
+    assert_eq!(refusals(&actions)[0].1, Reason::ShedByWeight);
 }
 
 #[test]
-fn where_nobody_shares_a_door_requests_of_one_rank_go_in_their_order() {
-    let mut door = door(1, 4);
-    let Verdict::Run(first) = door.arrive(ms(1), waiting(1, 10_000)).0 else { panic!() };
-    let Verdict::Wait(second) = door.arrive(ms(2), waiting(1, 10_000)).0 else { panic!() };
-    let Verdict::Wait(third) = door.arrive(ms(3), waiting(1, 10_000)).0 else { panic!() };
-    assert_eq!(door.finish(ms(4), first, true), [Action::Start(second)]);
-    assert_eq!(door.finish(ms(5), second, true), [Action::Start(third)]);
+fn without_flows_requests_of_one_rank_start_in_order_of_arrival() {
+    let mut admission = new_admission(1, 4);
+    let Verdict::Run(first) = admission.arrive(ms(1), waiting(1, 10_000)).0 else { panic!() };
+    let Verdict::Wait(second) = admission.arrive(ms(2), waiting(1, 10_000)).0 else { panic!() };
+    let Verdict::Wait(third) = admission.arrive(ms(3), waiting(1, 10_000)).0 else { panic!() };
+    assert_eq!(admission.finish(ms(4), first, true), [Action::Start(second)]);
+    assert_eq!(admission.finish(ms(5), second, true), [Action::Start(third)]);
 }
 
 #[test]
-fn a_workspace_beyond_its_part_leaves_the_last_slot_and_that_says_nothing_of_the_room_for_others() {
-    let mut door = door(2, 0);
-    let [hot, other, third] = ["hot", "other", "third"].map(|name| sharer(name, None));
+fn a_workspace_over_its_share_leaves_the_last_slot_to_others_and_its_refusal_says_so() {
+    let mut admission = new_admission(2, 0);
+    let [hot, other, third] = ["hot", "other", "third"].map(|name| flow(name, None));
     let selective = Arrival { selective: true, ..waiting(1, 10_000) };
-    let arrive = |door: &mut Admission, at, who| door.arrive_for(ms(at), selective, Some(who)).0;
-    for sharer in [&other, &third] {
-        let Verdict::Run(ticket) = arrive(&mut door, 1, sharer) else { panic!() };
-        door.finish(ms(2), ticket, true);
+    let arrive =
+        |admission: &mut Admission, at, who| admission.arrive_for(ms(at), selective, Some(who)).0;
+    for flow in [&other, &third] {
+        let Verdict::Run(ticket) = arrive(&mut admission, 1, flow) else { panic!() };
+        admission.finish(ms(2), ticket, true);
     }
     for _ in 0..20 {
-        let Verdict::Run(ticket) = arrive(&mut door, 3, &hot) else { panic!() };
-        door.finish(ms(3), ticket, true);
+        let Verdict::Run(ticket) = arrive(&mut admission, 3, &hot) else { panic!() };
+        admission.finish(ms(3), ticket, true);
     }
-    // One of its requests runs at any time, and no second one in the last slot.
-    let Verdict::Run(first) = arrive(&mut door, 10, &hot) else { panic!() };
-    let verdict = arrive(&mut door, 11, &hot);
+    // One request of the hot workspace may run at any time, but none takes the last slot.
+    let Verdict::Run(first) = arrive(&mut admission, 10, &hot) else { panic!() };
+    let verdict = arrive(&mut admission, 11, &hot);
     assert!(matches!(verdict, Verdict::Refuse(refusal) if refusal.makes_way()), "{verdict:?}");
-    let Verdict::Run(_) = arrive(&mut door, 12, &other) else { panic!() };
-    // Where no slot is free, the refusal is one for want of room.
-    let verdict = arrive(&mut door, 13, &third);
+    let Verdict::Run(_) = arrive(&mut admission, 12, &other) else { panic!() };
+    // Without a free slot it is an ordinary refusal.
+    let verdict = arrive(&mut admission, 13, &third);
     assert!(matches!(verdict, Verdict::Refuse(refusal) if !refusal.makes_way()), "{verdict:?}");
-    // The others come no more, so all the room is its own.
-    door.finish(ms(6_000), first, true);
-    assert!(matches!(arrive(&mut door, 6_001, &hot), Verdict::Run(_)));
-    let mut door = self::door(2, 0);
-    assert!(matches!(arrive(&mut door, 1, &hot), Verdict::Run(_)));
-    assert!(matches!(arrive(&mut door, 2, &hot), Verdict::Run(_)));
+    // Once the others are inactive, the hot workspace gets all slots.
+    admission.finish(ms(6_000), first, true);
+    assert!(matches!(arrive(&mut admission, 6_001, &hot), Verdict::Run(_)));
+    let mut admission = new_admission(2, 0);
+    assert!(matches!(arrive(&mut admission, 1, &hot), Verdict::Run(_)));
+    assert!(matches!(arrive(&mut admission, 2, &hot), Verdict::Run(_)));
 }
 
-/// Load: a request of a workspace beyond its part waits first in the queue, and one of another workspace behind it. The
-/// slot that the first one leaves goes to the second.
+/// Guards against head-of-line blocking: a request of a workspace over its share is first in the
+/// queue, and the free slot goes to a request of another workspace behind it.
 #[test]
-fn a_request_that_makes_way_holds_nobody_up() {
-    let mut door = door(2, 4);
-    let [hot, other, third] = ["hot", "other", "third"].map(|name| sharer(name, None));
-    let arrive = |door: &mut Admission, at, weight, who| {
-        door.arrive_for(ms(at), waiting(weight, 10_000), Some(who)).0
+fn a_request_that_yields_its_slot_does_not_block_the_queue() {
+    let mut admission = new_admission(2, 4);
+    let [hot, other, third] = ["hot", "other", "third"].map(|name| flow(name, None));
+    let arrive = |admission: &mut Admission, at, weight, who| {
+        admission.arrive_for(ms(at), waiting(weight, 10_000), Some(who)).0
     };
-    for sharer in [&other, &third] {
-        let Verdict::Run(ticket) = arrive(&mut door, 1, 1, sharer) else { panic!() };
-        door.finish(ms(2), ticket, true);
+    for flow in [&other, &third] {
+        let Verdict::Run(ticket) = arrive(&mut admission, 1, 1, flow) else { panic!() };
+        admission.finish(ms(2), ticket, true);
     }
     for _ in 0..20 {
-        let Verdict::Run(ticket) = arrive(&mut door, 3, 1, &hot) else { panic!() };
-        door.finish(ms(3), ticket, true);
+        let Verdict::Run(ticket) = arrive(&mut admission, 3, 1, &hot) else { panic!() };
+        admission.finish(ms(3), ticket, true);
     }
-    let Verdict::Run(_) = arrive(&mut door, 10, 1, &hot) else { panic!() };
-    let Verdict::Run(second) = arrive(&mut door, 11, 1, &other) else { panic!() };
-    let Verdict::Wait(_) = arrive(&mut door, 12, 2, &hot) else { panic!() };
-    let Verdict::Wait(behind) = arrive(&mut door, 13, 1, &other) else { panic!() };
-    assert_eq!(door.finish(ms(20), second, true), [Action::Start(behind)]);
+    let Verdict::Run(_) = arrive(&mut admission, 10, 1, &hot) else { panic!() };
+    let Verdict::Run(second) = arrive(&mut admission, 11, 1, &other) else { panic!() };
+    let Verdict::Wait(_) = arrive(&mut admission, 12, 2, &hot) else { panic!() };
+    let Verdict::Wait(behind) = arrive(&mut admission, 13, 1, &other) else { panic!() };
+    assert_eq!(admission.finish(ms(20), second, true), [Action::Start(behind)]);
 }
 
 #[test]
-fn a_hot_workspace_is_remembered_however_many_others_ask() {
-    let mut door = door(1, 1);
-    let hot = sharer("hot", None);
-    let arrive = |door: &mut Admission, at, sharer: &Sharer| {
-        door.arrive_for(ms(at), waiting(1, 10_000), Some(sharer))
+fn the_account_of_a_hot_workspace_is_kept_among_many_others() {
+    let mut admission = new_admission(1, 1);
+    let hot = flow("hot", None);
+    let arrive = |admission: &mut Admission, at, flow: &Sharer| {
+        admission.arrive_for(ms(at), waiting(1, 10_000), Some(flow))
     };
-    let Verdict::Run(mut running) = arrive(&mut door, 1, &hot).0 else { panic!() };
+    let Verdict::Run(mut running) = arrive(&mut admission, 1, &hot).0 else { panic!() };
     for _ in 0..5 {
-        door.finish(ms(1), running, true);
-        let Verdict::Run(ticket) = arrive(&mut door, 1, &hot).0 else { panic!() };
+        admission.finish(ms(1), running, true);
+        let Verdict::Run(ticket) = arrive(&mut admission, 1, &hot).0 else { panic!() };
         running = ticket;
     }
     for i in 0..1_000 {
-        door.finish(ms(2), running, true);
-        let verdict = arrive(&mut door, 2, &sharer(&format!("small-{i}"), None)).0;
+        admission.finish(ms(2), running, true);
+        let verdict = arrive(&mut admission, 2, &flow(&format!("small-{i}"), None)).0;
         let Verdict::Run(ticket) = verdict else { panic!("{verdict:?}") };
         running = ticket;
     }
-    let Verdict::Wait(hot) = arrive(&mut door, 3, &hot).0 else { panic!() };
-    let (_, actions) = arrive(&mut door, 3, &sharer("one more", None));
-    assert_eq!(refused(&actions), [(hot, Reason::ShareUsed)]);
+    let Verdict::Wait(hot) = arrive(&mut admission, 3, &hot).0 else { panic!() };
+    let (_, actions) = arrive(&mut admission, 3, &flow("one more", None));
+    assert_eq!(refusals(&actions), [(hot, Reason::ShareUsed)]);
 }
--- a/crates/cherrystream-core/tests/first_asked.rs
+++ b/crates/cherrystream-core/tests/first_asked.rs
@@ -1,4 +1,4 @@
-//! How long ago a caller first asked.
+//! Estimate of the time since a caller first sent a request.
 
 use cherrystream_core::first_asked::FirstAsked;
 use cherrystream_core::units::Timestamp;
@@ -11,44 +11,58 @@
     Duration::from_millis(millis)
 }
 
-/// Feeds requests of a kind, one each 20 ms, and returns what is told of each.
-fn told(known: &mut FirstAsked, from: u64, left: impl Iterator<Item = u64>) -> Vec<u64> {
+/// Records requests of a kind with these remaining deadlines, one every 20 ms; returns the estimate
+/// for each.
+fn estimates(
+    histograms: &mut FirstAsked,
+    from: u64,
+    remaining: impl Iterator<Item = u64>,
+) -> Vec<u64> {
     let kind: Arc<str> = "grants".into();
     let at = |i: u64| Timestamp::from_millis(from + i * 20);
-    let tell = |(i, left): (u64, u64)| known.on_request(at(i), &kind, ms(left)).as_millis() as u64;
-    (0..).zip(left).map(tell).collect()
+    let estimate = |(i, remaining): (u64, u64)| {
+        histograms.on_request(at(i), &kind, ms(remaining)).as_millis() as u64
+    };
+    (0..).zip(remaining).map(estimate).collect()
 }
 
 #[test]
-fn a_request_that_comes_again_tells_how_long_it_was_asked_for() {
-    let mut known = FirstAsked::default();
-    told(&mut known, 0, std::iter::repeat_n(5_000, 20));
-    assert_eq!(told(&mut known, 500, [4_700, 5_000, 4_300].into_iter()), [292, 0, 692]);
+fn a_lower_remaining_deadline_is_estimated_as_a_retry() {
+    let mut histograms = FirstAsked::default();
+    estimates(&mut histograms, 0, std::iter::repeat_n(5_000, 20));
+    assert_eq!(estimates(&mut histograms, 500, [4_700, 5_000, 4_300].into_iter()), [292, 0, 692]);
 }
 
-/// Two sorts of callers, one less patient than the other.
+/// Guards against treating the shorter of two common deadlines as a retry.
 #[test]
-fn each_patience_that_is_usual_counts_as_a_first_question() {
-    let mut known = FirstAsked::default();
-    told(&mut known, 0, [600, 4_000].into_iter().cycle().take(40));
-    assert_eq!(told(&mut known, 900, [600, 4_000, 500, 3_900].into_iter()), [0, 0, 92, 100]);
+fn each_common_deadline_counts_as_a_first_request() {
+    let mut histograms = FirstAsked::default();
+    estimates(&mut histograms, 0, [600, 4_000].into_iter().cycle().take(40));
+    assert_eq!(
+        estimates(&mut histograms, 900, [600, 4_000, 500, 3_900].into_iter()),
+        [0, 0, 92, 100]
+    );
 }
 
 #[test]
-fn where_nothing_stands_out_nothing_is_assumed() {
-    let mut known = FirstAsked::default();
+fn without_a_common_deadline_no_time_is_assumed() {
+    let mut histograms = FirstAsked::default();
     let mut rng = SmallRng::seed_from_u64(7);
     let random: Vec<u64> = (0..400).map(|_| rng.random_range(100..10_000)).collect();
-    assert!(told(&mut known, 0, random.into_iter()).iter().all(|elapsed| *elapsed == 0));
-    let mut known = FirstAsked::default();
-    assert_eq!(told(&mut known, 0, [5_000, 4_000, 3_000].into_iter()), [0, 0, 0], "too few");
+    assert!(estimates(&mut histograms, 0, random.into_iter()).iter().all(|elapsed| *elapsed == 0));
+    let mut histograms = FirstAsked::default();
+    assert_eq!(
+        estimates(&mut histograms, 0, [5_000, 4_000, 3_000].into_iter()),
+        [0, 0, 0],
+        "too few requests"
+    );
 }
 
-/// Callers' settings change; what they were is forgotten.
+/// Guards against estimates from deadlines that callers no longer use.
 #[test]
-fn a_patience_that_is_no_longer_usual_is_forgotten() {
-    let mut known = FirstAsked::default();
-    told(&mut known, 0, std::iter::repeat_n(5_000, 100));
-    let after = told(&mut known, 10_000, std::iter::repeat_n(2_000, 3_000));
+fn a_deadline_that_is_no_longer_common_expires() {
+    let mut histograms = FirstAsked::default();
+    estimates(&mut histograms, 0, std::iter::repeat_n(5_000, 100));
+    let after = estimates(&mut histograms, 10_000, std::iter::repeat_n(2_000, 3_000));
     assert_eq!(after.last(), Some(&0));
 }
--- a/crates/cherrystream-core/tests/overload.rs
+++ b/crates/cherrystream-core/tests/overload.rs
@@ -1,4 +1,5 @@
-//! Doors under load: pace, slots kept free for calls, and requests that have a choice.
+//! Admission control under load: slowness reports, reserved slots for nested calls, and selective
+//! requests.
 
 use cherrystream_core::admission::{self, Admission, Arrival, Verdict};
 use cherrystream_core::callers::Callers;
@@ -16,7 +17,7 @@
     Timestamp::from_millis(millis)
 }
 
-fn door(slots: u32) -> Admission {
+fn new_admission(slots: u32) -> Admission {
     Admission::new(admission::Options {
         slots,
         queue: 8,
@@ -43,62 +44,65 @@
 }
 
 #[test]
-fn a_request_with_a_choice_is_turned_down_where_work_is_slow() {
-    let mut door = door(10);
-    door.on_pace(ms(1_000), 400);
-    assert_eq!(reason(door.arrive(ms(1_010), arrival(1, true)).0), Some(Reason::BusyNow));
-    assert!(matches!(door.arrive(ms(1_010), arrival(1, false)).0, Verdict::Run(_)));
-    door.on_pace(ms(1_050), 100);
-    assert!(matches!(door.arrive(ms(1_060), arrival(1, true)).0, Verdict::Run(_)));
+fn a_selective_request_is_refused_by_a_slow_server() {
+    let mut admission = new_admission(10);
+    admission.on_pace(ms(1_000), 400);
+    assert_eq!(reason(admission.arrive(ms(1_010), arrival(1, true)).0), Some(Reason::BusyNow));
+    assert!(matches!(admission.arrive(ms(1_010), arrival(1, false)).0, Verdict::Run(_)));
+    admission.on_pace(ms(1_050), 100);
+    assert!(matches!(admission.arrive(ms(1_060), arrival(1, true)).0, Verdict::Run(_)));
 }
 
 #[test]
-fn a_slow_server_takes_the_work_that_it_still_answers_in_time() {
-    let mut door = door(10);
-    door.on_pace(ms(1_000), 200);
-    let with = |usual: u64, until: u64| Arrival {
+fn a_slow_server_accepts_requests_that_it_still_answers_in_time() {
+    let mut admission = new_admission(10);
+    admission.on_pace(ms(1_000), 200);
+    let with_times = |usual: u64, until: u64| Arrival {
         usual: Some(Duration::from_millis(usual)),
         good_until: Some(ms(until)),
         ..arrival(1, true)
     };
-    assert!(matches!(door.arrive(ms(1_000), with(100, 1_250)).0, Verdict::Run(_)));
-    assert_eq!(reason(door.arrive(ms(1_000), with(100, 1_150)).0), Some(Reason::BusyNow));
-    // At the usual pace it is not the pace that makes an answer late.
-    door.on_pace(ms(1_050), 100);
-    assert!(matches!(door.arrive(ms(1_060), with(100, 1_100)).0, Verdict::Run(_)));
+    assert!(matches!(admission.arrive(ms(1_000), with_times(100, 1_250)).0, Verdict::Run(_)));
+    assert_eq!(
+        reason(admission.arrive(ms(1_000), with_times(100, 1_150)).0),
+        Some(Reason::BusyNow)
+    );
+    // At normal speed the slowness doesn't make an answer late.
+    admission.on_pace(ms(1_050), 100);
+    assert!(matches!(admission.arrive(ms(1_060), with_times(100, 1_100)).0, Verdict::Run(_)));
 }
 
 #[test]
-fn the_usual_time_of_a_kind_does_not_depend_on_the_pace_at_which_it_was_learned() {
-    let mut usual_times = UsualTimes::default();
+fn the_typical_time_of_a_kind_does_not_depend_on_the_slowness() {
+    let mut service_times = UsualTimes::default();
     let kind: Arc<str> = "quotes".into();
     for i in 0..40 {
         let slowness = [100, 200, 400][i % 3];
         let took = Duration::from_millis(u64::from(slowness));
-        usual_times.on_answer(ms(i as u64), &kind, took, slowness);
+        service_times.on_answer(ms(i as u64), &kind, took, slowness);
     }
-    assert_eq!(usual_times.usual("quotes").map(|d| d.as_millis()), Some(100));
-    assert_eq!(usual_times.usual("payouts"), None);
+    assert_eq!(service_times.usual("quotes").map(|d| d.as_millis()), Some(100));
+    assert_eq!(service_times.usual("payouts"), None);
 }
 
 #[test]
-fn kinds_that_no_longer_come_make_room_for_others() {
-    let mut usual_times = UsualTimes::default();
+fn unused_kinds_are_evicted_for_new_ones() {
+    let mut service_times = UsualTimes::default();
     let took = Duration::from_millis(5);
     for i in 0..2_000_u64 {
         let kind: Arc<str> = format!("kind-{i}").into();
-        (0..5).for_each(|_| usual_times.on_answer(ms(i * 1_000), &kind, took, 100));
-        assert!(usual_times.usual(&kind).is_some(), "kind {i} is not learned");
+        (0..5).for_each(|_| service_times.on_answer(ms(i * 1_000), &kind, took, 100));
+        assert!(service_times.usual(&kind).is_some(), "kind {i} has no typical time");
     }
 }
 
 #[test]
-fn the_word_of_a_slow_server_is_asked_for_again_and_forgotten() {
+fn a_slow_server_is_probed_after_a_refusal_and_its_report_expires() {
     let mut pace = Pace::default();
     assert!(!pace.needs_probe(ms(1)));
     pace.on_report(ms(100), 400);
     assert!(pace.is_too_slow(ms(120), None, None));
-    assert!(!pace.needs_probe(ms(200)), "nobody was turned down");
+    assert!(!pace.needs_probe(ms(200)), "no request was refused");
     pace.on_refused();
     assert!(!pace.needs_probe(ms(120)));
     assert!(pace.needs_probe(ms(200)));
@@ -107,45 +111,45 @@
 
 #[test]
 fn only_a_share_of_the_slots_is_used() {
-    let mut door = door(10);
+    let mut admission = new_admission(10);
     for _ in 0..8 {
-        assert!(matches!(door.arrive(ms(1), arrival(1, true)).0, Verdict::Run(_)));
+        assert!(matches!(admission.arrive(ms(1), arrival(1, true)).0, Verdict::Run(_)));
     }
-    assert_eq!(reason(door.arrive(ms(1), arrival(1, true)).0), Some(Reason::BusyNow));
-    assert!(matches!(door.arrive(ms(1), arrival(1, false)).0, Verdict::Wait(_)));
+    assert_eq!(reason(admission.arrive(ms(1), arrival(1, true)).0), Some(Reason::BusyNow));
+    assert!(matches!(admission.arrive(ms(1), arrival(1, false)).0, Verdict::Wait(_)));
 }
 
 #[test]
-fn calls_by_running_requests_find_a_slot_kept_free() {
-    let mut door = door(10);
-    // For two seconds, one call runs at any moment.
+fn nested_calls_find_a_reserved_slot() {
+    let mut admission = new_admission(10);
+    // For two seconds, one nested call is in flight at any moment.
     for at in 0..100 {
-        let Verdict::Run(ticket) = door.arrive(ms(at * 20), call(true)).0 else {
-            panic!("a call finds no slot");
+        let Verdict::Run(ticket) = admission.arrive(ms(at * 20), call(true)).0 else {
+            panic!("a nested call finds no slot");
         };
-        door.finish(ms(at * 20 + 19), ticket, true);
+        admission.finish(ms(at * 20 + 19), ticket, true);
     }
     let started = (0..10)
-        .filter(|_| matches!(door.arrive(ms(2_000), arrival(1, true)).0, Verdict::Run(_)))
+        .filter(|_| matches!(admission.arrive(ms(2_000), arrival(1, true)).0, Verdict::Run(_)))
         .count();
-    assert_eq!(started, 7, "one of the eight slots is kept free");
-    assert!(matches!(door.arrive(ms(2_001), call(true)).0, Verdict::Run(_)));
-    // Once no call has come for a while, all slots are for everybody.
-    assert!(matches!(door.arrive(ms(9_000), arrival(1, true)).0, Verdict::Refuse(_)));
+    assert_eq!(started, 7, "one of the eight slots is reserved");
+    assert!(matches!(admission.arrive(ms(2_001), call(true)).0, Verdict::Run(_)));
+    // Without nested calls for a while, no slot is reserved.
+    assert!(matches!(admission.arrive(ms(9_000), arrival(1, true)).0, Verdict::Refuse(_)));
 }
 
 #[test]
-fn a_call_goes_before_what_waits() {
-    let mut door = door(2);
-    let Verdict::Run(first) = door.arrive(ms(1), arrival(1, false)).0 else { panic!() };
-    let Verdict::Wait(other) = door.arrive(ms(2), arrival(1, false)).0 else { panic!() };
-    let Verdict::Wait(call) = door.arrive(ms(3), call(false)).0 else { panic!() };
-    assert_eq!(door.finish(ms(9), first, true), [admission::Action::Start(call)]);
-    assert_eq!(door.finish(ms(12), call, true), [admission::Action::Start(other)]);
+fn a_nested_call_goes_before_queued_requests() {
+    let mut admission = new_admission(2);
+    let Verdict::Run(first) = admission.arrive(ms(1), arrival(1, false)).0 else { panic!() };
+    let Verdict::Wait(other) = admission.arrive(ms(2), arrival(1, false)).0 else { panic!() };
+    let Verdict::Wait(call) = admission.arrive(ms(3), call(false)).0 else { panic!() };
+    assert_eq!(admission.finish(ms(9), first, true), [admission::Action::Start(call)]);
+    assert_eq!(admission.finish(ms(12), call, true), [admission::Action::Start(other)]);
 }
 
 #[test]
-fn log_lines_are_bounded_and_what_is_left_out_is_counted() {
+fn log_lines_are_limited_and_dropped_ones_are_counted() {
     let mut budget = LogBudget::default();
     let written = (0..1_000).filter(|_| budget.take(ms(1_000), true).is_some()).count();
     assert_eq!(written, 80);
@@ -154,60 +158,61 @@
 }
 
 #[test]
-fn a_route_that_one_service_uses_beside_shared_ones_is_a_call() {
+fn a_route_used_by_one_service_beside_shared_ones_carries_nested_calls() {
     let mut callers = Callers::default();
-    let name = |text: &str| -> Arc<str> { text.into() };
+    let arc = |text: &str| -> Arc<str> { text.into() };
     let services = ["quotes", "payouts", "history"];
     let mut called = 0;
     for i in 0..60 {
-        let service = name(services[i % 3]);
-        assert!(!callers.on_request(ms(i as u64), &name("orders"), &service));
-        called += u32::from(callers.on_request(ms(i as u64), &name("checks"), &name("quotes")));
+        let service = arc(services[i % 3]);
+        assert!(!callers.on_request(ms(i as u64), &arc("orders"), &service));
+        called += u32::from(callers.on_request(ms(i as u64), &arc("checks"), &arc("quotes")));
     }
     assert!(called > 40, "{called}");
-    // Where all routes come from one service, that service's hosts are where callers come in.
+    // If all routes are used by one service only, outside callers enter on its hosts.
     let mut callers = Callers::default();
     for i in 0..60 {
-        assert!(!callers.on_request(ms(i), &name("orders"), &name("edge")));
-        assert!(!callers.on_request(ms(i), &name("checks"), &name("edge")));
+        assert!(!callers.on_request(ms(i), &arc("orders"), &arc("edge")));
+        assert!(!callers.on_request(ms(i), &arc("checks"), &arc("edge")));
     }
 }
 
-/// Load: requests of one kind are split over two of three services, as while a table is changed. Both call the third one
-/// on the same route, so neither is its only caller; its own host, where one in eight callers comes in, never calls.
+/// Guards against missing nested calls that come from several services, as while routes change: two
+/// of three services call the third, whose own host, entered by one in eight callers, never calls.
 #[test]
-fn a_route_that_the_hosts_of_some_service_do_not_use_is_a_call() {
+fn a_route_not_used_by_the_hosts_of_some_service_carries_nested_calls() {
     let mut callers = Callers::default();
-    let name = |text: &str| -> Arc<str> { text.into() };
-    let hosts =
+    let arc = |text: &str| -> Arc<str> { text.into() };
+    let services =
         ["quotes", "payouts", "quotes", "payouts", "quotes", "payouts", "quotes", "archive"];
     let mut called = 0;
     for i in 0..100 {
         let now = ms(i as u64 * 10);
-        assert!(!callers.on_request(now, &name("uploads"), &name(hosts[i % 8])), "{i}");
-        let calls = callers.on_request(now, &name("index"), &name(hosts[i % 2]));
+        assert!(!callers.on_request(now, &arc("uploads"), &arc(services[i % 8])), "{i}");
+        let calls = callers.on_request(now, &arc("index"), &arc(services[i % 2]));
         called += u32::from(calls);
     }
     assert!(called >= 40, "{called}");
 }
 
-/// A route that is used like the others but rarely is not taken for one by the chance that a service has not used it.
+/// Guards against treating a rarely used route as one of nested calls because some service is
+/// absent by chance.
 #[test]
-fn a_rare_route_of_callers_is_no_call() {
+fn a_rare_route_of_outside_callers_carries_no_nested_calls() {
     let mut callers = Callers::default();
-    let name = |text: &str| -> Arc<str> { text.into() };
-    let hosts =
+    let arc = |text: &str| -> Arc<str> { text.into() };
+    let services =
         ["quotes", "payouts", "quotes", "payouts", "quotes", "payouts", "quotes", "archive"];
     for i in 0..30 {
-        callers.on_request(ms(i as u64 * 10), &name("uploads"), &name(hosts[i % 8]));
-        let called = callers.on_request(ms(i as u64 * 10), &name("deletes"), &name(hosts[i % 7]));
+        callers.on_request(ms(i as u64 * 10), &arc("uploads"), &arc(services[i % 8]));
+        let called = callers.on_request(ms(i as u64 * 10), &arc("deletes"), &arc(services[i % 7]));
         assert!(!called, "{i}");
     }
 }
 
-/// With many services, some are missing among a route's requests for a long while by chance alone.
+/// Guards against the same with many services, of which some are absent for a long time.
 #[test]
-fn a_route_of_many_services_is_no_call_for_missing_some_by_chance() {
+fn a_route_that_lacks_some_of_many_services_by_chance_carries_no_nested_calls() {
     let mut wrong = 0;
     for seed in 0..8 {
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -222,15 +227,15 @@
     assert!(wrong < 120, "{wrong} of 12000");
 }
 
-/// An answer that will be late anyway is worth less than one that can be in time, so it waits behind.
+/// Guards against serving requests that will be late anyway before ones that can be in time.
 #[test]
-fn what_can_be_in_time_goes_before_what_cannot() {
-    let mut door = door(1);
+fn requests_that_can_be_in_time_go_before_those_that_cannot() {
+    let mut admission = new_admission(1);
     let usual = Some(Duration::from_millis(300));
     let until = |millis| Arrival { good_until: Some(ms(millis)), usual, ..arrival(1, false) };
-    let Verdict::Run(first) = door.arrive(ms(0), until(800)).0 else { panic!() };
-    let Verdict::Wait(late) = door.arrive(ms(1), until(200)).0 else { panic!() };
-    let Verdict::Wait(in_time) = door.arrive(ms(2), until(800)).0 else { panic!() };
-    assert_eq!(door.finish(ms(10), first, true), [admission::Action::Start(in_time)]);
-    assert_eq!(door.finish(ms(20), in_time, true), [admission::Action::Start(late)]);
+    let Verdict::Run(first) = admission.arrive(ms(0), until(800)).0 else { panic!() };
+    let Verdict::Wait(late) = admission.arrive(ms(1), until(200)).0 else { panic!() };
+    let Verdict::Wait(in_time) = admission.arrive(ms(2), until(800)).0 else { panic!() };
+    assert_eq!(admission.finish(ms(10), first, true), [admission::Action::Start(in_time)]);
+    assert_eq!(admission.finish(ms(20), in_time, true), [admission::Action::Start(late)]);
 }
