--- a/crates/cherrystream-core/src/quota/homes.rs
+++ b/crates/cherrystream-core/src/quota/allocators.rs
@@ -1,7 +1,7 @@
 //! The home of a workspace: lends its part of the quota to daemons that ask.
 
 use super::bucket::{Bucket, Loan, Size};
-use super::lent::LEASE_LIFE;
+use super::workspace_leases::LEASE_LIFE;
 use super::{LeaseAnswer, LeaseRequest, Members, Tolerance};
 use crate::units::Timestamp;
 use crate::workspaces::Quota;
--- a/crates/cherrystream-core/src/quota/leases.rs
+++ b/crates/cherrystream-core/src/quota/leases.rs
@@ -3,8 +3,8 @@
 //! No sum over daemons is needed for the bound: the parts add up to the quota, and each home counts what it has lent.
 //! A daemon asks the home of its own failure domain first, and the others only for what that one lacks.
 
-use super::homes::{self, Homes};
-use super::lent::{Backoff, Deficit, Lent};
+use super::allocators::{self, Homes};
+use super::workspace_leases::{Backoff, Deficit, Lent};
 use super::{
     Charge, LeaseAnswer, LeaseBatch, LeaseRequest, Members, Policy, Reply, Tolerance, Try, Verdict,
 };
@@ -59,12 +59,12 @@
         lent.seen = now;
         lent.quota = Some(quota.into());
         if lent.homes.is_empty() {
-            let count = homes::count(&self.members, &self.tolerance, quota);
+            let count = allocators::count(&self.members, &self.tolerance, quota);
             lent.homes = self.members.homes(workspace, count);
             lent.lacked.clear();
-            let size = homes::size(&self.members, &self.tolerance, quota);
+            let size = allocators::size(&self.members, &self.tolerance, quota);
             lent.home_per_second = size.per_second;
-            lent.lacks_at_most = homes::lacks_at_most(&self.members, &self.tolerance, quota);
+            lent.lacks_at_most = allocators::lacks_at_most(&self.members, &self.tolerance, quota);
             let places = (ISOLATED_SHARE * self.tolerance.room(quota)) as usize;
             lent.has_place = self.members.has_place(workspace, places);
         }
--- a/crates/cherrystream-core/src/quota/mod.rs
+++ b/crates/cherrystream-core/src/quota/mod.rs
@@ -3,11 +3,11 @@
 //! A [`Policy`] decides at each daemon. It answers requests at once where it can, and exchanges batches with the
 //! policies of other daemons. [`Leases`] is the one in use.
 
+mod allocators;
 mod bucket;
-mod homes;
 mod leases;
-mod lent;
 mod members;
+mod workspace_leases;
 
 pub use leases::Leases;
 pub use members::{Member, Members};
