--- a/crates/cherrystream-core/src/plan.rs
+++ b/crates/cherrystream-core/src/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: what an intent would change, step by step, and what the operator should know first.
+//! Plans for operators: the steps and the warnings of an intent before it is confirmed.
 
 use crate::errors::{self, Error, Result};
 use crate::rollout;
@@ -8,25 +8,25 @@
 use messages::{BackendServer, Config, Intent, Service, Shared};
 use std::net::SocketAddr;
 
-/// Longest name that an operator may give, in bytes.
-const NAME_BYTES: usize = 63;
-/// Slots that one backend server may have.
-const SLOTS_AT_MOST: u32 = 100_000;
+/// Maximum length of a name.
+const MAX_NAME_BYTES: usize = 63;
+/// Maximum number of slots of a backend server.
+const MAX_SLOTS: u32 = 100_000;
 
 /// Steps and warnings of a plan.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outline {
-    /// What will be done, a sentence each.
+    /// Changes that the intent makes, one sentence each.
     pub steps: Vec<String>,
-    /// What the operator should know first, a sentence each.
+    /// Side effects to consider before the confirmation, one sentence each.
     pub warnings: Vec<String>,
 }
 
-/// Works out what an intent would change.
+/// Determines what an intent would change.
 ///
 /// # Errors
 ///
-/// Fails when the intent names something missing, holds a bad value or would change nothing.
+/// Fails if the intent names something missing, has an invalid value or would change nothing.
 pub fn outline(shared: &Shared, intent: &Intent) -> Result<Outline> {
     check(shared, intent)?;
     let mut after = shared.clone();
@@ -39,7 +39,7 @@
     Ok(Outline { steps: steps(shared, intent), warnings: warnings(shared, &after, intent) })
 }
 
-/// Returns an intent whose time begins now: it may have waited for its confirmation.
+/// Returns the intent with `at_ms` as its start time; the confirmation may be later than the plan.
 pub fn as_of(intent: &Intent, at_ms: u64) -> Intent {
     match intent {
         Intent::StartRollout { service, version, within_ms, .. } => Intent::StartRollout {
@@ -67,7 +67,7 @@
         Intent::RevokeKey { .. } => "revoke a key of",
         Intent::StartRollout { .. } => "roll out",
         Intent::StopRollout { .. } => "stop the roll-out of",
-        Intent::NeedKeys { .. } => "set whether keys are needed at",
+        Intent::NeedKeys { .. } => "change",
         _ => "put",
     };
     let (what, name) = subject(intent);
@@ -92,7 +92,7 @@
         | Intent::DeleteWorkspace { workspace }
         | Intent::AddKey { workspace, .. }
         | Intent::RevokeKey { workspace, .. } => ("workspace", workspace),
-        Intent::NeedKeys { .. } => ("door", "of every caller"),
+        Intent::NeedKeys { .. } => ("key requirement", "of all callers"),
     }
 }
 
@@ -184,13 +184,13 @@
 
 fn check_name(field: &'static str, name: &str) -> Result<()> {
     let fits = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-    if !name.is_empty() && name.len() <= NAME_BYTES && name.chars().all(fits) {
+    if !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(fits) {
         return Ok(());
     }
     errors::bad_value(
         field,
         name,
-        format!("use 1 to {NAME_BYTES} lower-case letters, digits and hyphens"),
+        format!("use 1 to {MAX_NAME_BYTES} lower-case letters, digits and hyphens"),
     )
 }
 
@@ -223,10 +223,10 @@
 }
 
 fn check_slots(slots: u32) -> Result<()> {
-    if (1..=SLOTS_AT_MOST).contains(&slots) {
+    if (1..=MAX_SLOTS).contains(&slots) {
         return Ok(());
     }
-    errors::bad_value("slots", slots, format!("use 1 to {SLOTS_AT_MOST}"))
+    errors::bad_value("slots", slots, format!("use 1 to {MAX_SLOTS}"))
 }
 
 fn steps(shared: &Shared, intent: &Intent) -> Vec<String> {
@@ -289,8 +289,8 @@
 }
 
 fn evacuation_steps(shared: &Shared, failure_domain: &str) -> Vec<String> {
-    let is_there = |record: &&messages::HostRecord| record.failure_domain == failure_domain;
-    let hosts = shared.hosts.values().filter(is_there).count();
+    let is_in_domain = |record: &&messages::HostRecord| record.failure_domain == failure_domain;
+    let hosts = shared.hosts.values().filter(is_in_domain).count();
     vec![
         format!("send no new work to the {hosts} hosts of failure domain '{failure_domain}'"),
         "let their backend servers finish what they run".into(),
@@ -302,9 +302,9 @@
     for (name, entry) in &before.config.services {
         let total = entry.backend_servers.len();
         let had = usable(before, entry);
-        let has = after.config.services.get(name).map_or(0, |entry| usable(after, entry));
-        if has < had {
-            warnings.push(format!("leaves {has} of {total} backend servers of {name}"));
+        let left = after.config.services.get(name).map_or(0, |entry| usable(after, entry));
+        if left < had {
+            warnings.push(format!("leaves {left} of {total} backend servers of {name}"));
         }
     }
     if let Intent::PutBackendServer { host, .. } = intent
@@ -313,7 +313,7 @@
         warnings.push(format!("no daemon has registered for host '{host}' yet"));
     }
     if let Intent::PutKind { service, kind, repeatable: true, .. } = intent
-        && was_once(before, service, kind)
+        && ran_at_most_once(before, service, kind)
     {
         warnings.push(format!("requests of kind '{kind}' may run more than once from now on"));
     }
@@ -327,7 +327,7 @@
     service.backend_servers.values().filter(usable).count()
 }
 
-fn was_once(shared: &Shared, service: &str, kind: &str) -> bool {
+fn ran_at_most_once(shared: &Shared, service: &str, kind: &str) -> bool {
     let service = shared.config.services.get(service);
     service.and_then(|s| s.kinds.get(kind)).is_some_and(|k| !k.repeatable)
 }
--- a/crates/cherrystream-core/src/quota/allocators.rs
+++ b/crates/cherrystream-core/src/quota/allocators.rs
@@ -1,7 +1,7 @@
-//! The home of a workspace: lends its part of the quota to daemons that ask.
+//! Quota allocators: each grants leases of credits from its share of a workspace's quota.
 
-use super::bucket::{Bucket, Loan, Size};
-use super::workspace_leases::LEASE_LIFE;
+use super::bucket::{Bucket, GrantedLease, Size};
+use super::workspace_leases::LEASE_VALIDITY;
 use super::{LeaseAnswer, LeaseRequest, Members, Tolerance};
 use crate::units::Timestamp;
 use crate::workspaces::Quota;
@@ -9,120 +9,125 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Part of the room beyond a quota by which buckets are deeper than the burst: what lies unused elsewhere is no reason
-/// to refuse a request below the quota.
+/// Share of the tolerance by which buckets are deeper than the burst. Credits that lie unused at
+/// other daemons then don't cause refusals below the quota.
 const EXTRA_DEPTH_SHARE: f64 = 0.5;
-/// Part of the room that a home begins with which does not know what its forerunner lent.
-const INITIAL_SHARE: f64 = 0.15;
-/// Part of what buckets hold beyond the burst that may be lost by asking the nearest home first.
-const LOST_SHARE: f64 = 0.4;
-/// Shortest time for which a daemon is sent away: callers far beyond a quota would cost a batch each.
-const AWAY_AT_LEAST: Duration = Duration::from_millis(100);
-/// Part of what buckets hold beyond the burst that may be lent for requests that are only expected.
-const AHEAD_SHARE: f64 = 0.2;
-/// Depth of a home's bucket at least: below, a home could not lend a whole credit beside another.
-const DEPTH_AT_LEAST: f64 = 2.0;
-/// Time beyond a lease's life after which its home takes it as used: clocks run unequally.
-const MARGIN: Duration = Duration::from_millis(100);
-/// Time after which a bucket that nobody asked is forgotten, if it is full by then.
-const IDLE: Duration = Duration::from_secs(60);
+/// Share of the tolerance in the initial level of a bucket: a previous allocator may have granted
+/// the rest.
+const INITIAL_LEVEL_SHARE: f64 = 0.15;
+/// Share of the depth beyond the burst that may be lost by asking the nearest allocator first.
+const MAX_LOSS_SHARE: f64 = 0.4;
+/// Shortest time after which a daemon may ask again; limits the batches caused by callers far
+/// beyond a quota.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Share of the depth beyond the burst that may be granted for expected requests.
+const PREFETCH_SHARE: f64 = 0.2;
+/// Smallest depth of an allocator's bucket, in credits: with less, two whole credits could not be
+/// granted at a time.
+const MIN_DEPTH: f64 = 2.0;
+/// Time beyond the validity of a lease after which its allocator considers it used: clocks run at
+/// different rates.
+const CLOCK_MARGIN: Duration = Duration::from_millis(100);
+/// Time after which an unused bucket is dropped if it is full by then.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The homes on one host.
-pub(super) struct Homes {
+/// The allocators on one host, one bucket per workspace.
+pub(super) struct Allocators {
     tolerance: Tolerance,
     quotas: HashMap<Arc<str>, Quota>,
+    /// Buckets with the time of their last use.
     buckets: HashMap<Arc<str>, (Bucket, Timestamp)>,
-    /// When the daemons that share the quotas were last others than now.
-    since: Timestamp,
-    swept: Timestamp,
+    /// Time of the last change of the members.
+    members_since: Timestamp,
+    last_sweep: Timestamp,
 }
 
-/// Returns how many homes a workspace has.
+/// Returns the number of allocators of a workspace, at most one per failure domain.
 pub(super) fn count(members: &Members, tolerance: &Tolerance, quota: Quota) -> usize {
     let depth = quota.burst + EXTRA_DEPTH_SHARE * tolerance.room(quota);
-    let worth = (depth / DEPTH_AT_LEAST) as usize;
-    worth.clamp(1, members.domains().max(1))
+    let max_count = (depth / MIN_DEPTH) as usize;
+    max_count.clamp(1, members.domains().max(1))
 }
 
-/// Returns the size of a home's bucket.
+/// Returns the size of each allocator's bucket.
 pub(super) fn size(members: &Members, tolerance: &Tolerance, quota: Quota) -> Size {
-    let homes = count(members, tolerance, quota) as f64;
-    let depth = (quota.burst + EXTRA_DEPTH_SHARE * tolerance.room(quota)) / homes;
-    Size { per_second: quota.per_second / homes, depth: depth.max(1.0) }
+    let allocators = count(members, tolerance, quota) as f64;
+    let depth = (quota.burst + EXTRA_DEPTH_SHARE * tolerance.room(quota)) / allocators;
+    Size { per_second: quota.per_second / allocators, depth: depth.max(1.0) }
 }
 
-/// Returns how much the nearest home may lack while it is still asked first. What the others cannot add to their full
-/// buckets meanwhile is lost, and must be less than what buckets hold beyond the burst.
-pub(super) fn lacks_at_most(members: &Members, tolerance: &Tolerance, quota: Quota) -> f64 {
-    let homes = count(members, tolerance, quota) as f64;
-    EXTRA_DEPTH_SHARE * tolerance.room(quota) / homes * LOST_SHARE
+/// Returns the deficit up to which the nearest allocator is asked first. Meanwhile the full buckets
+/// of the others discard refills; this loss must stay below the depth beyond the burst.
+pub(super) fn max_deficit(members: &Members, tolerance: &Tolerance, quota: Quota) -> f64 {
+    let allocators = count(members, tolerance, quota) as f64;
+    EXTRA_DEPTH_SHARE * tolerance.room(quota) / allocators * MAX_LOSS_SHARE
 }
 
-/// Returns how many credits may be lent for requests that are only expected.
-fn ahead_at_most(members: &Members, tolerance: &Tolerance, quota: Quota) -> f64 {
-    let homes = count(members, tolerance, quota) as f64;
-    EXTRA_DEPTH_SHARE * tolerance.room(quota) / homes * AHEAD_SHARE
+/// Returns the number of credits that may be granted for expected requests.
+fn max_prefetch(members: &Members, tolerance: &Tolerance, quota: Quota) -> f64 {
+    let allocators = count(members, tolerance, quota) as f64;
+    EXTRA_DEPTH_SHARE * tolerance.room(quota) / allocators * PREFETCH_SHARE
 }
 
-impl Homes {
-    pub(super) fn new(tolerance: Tolerance) -> Homes {
+impl Allocators {
+    pub(super) fn new(tolerance: Tolerance) -> Allocators {
         let (quotas, buckets) = (HashMap::new(), HashMap::new());
         let start = Timestamp::default();
-        Homes { tolerance, quotas, buckets, since: start, swept: start }
+        Allocators { tolerance, quotas, buckets, members_since: start, last_sweep: start }
     }
 
     pub(super) fn set_quotas(&mut self, quotas: HashMap<Arc<str>, Quota>) {
         self.quotas = quotas;
     }
 
-    /// Takes note that the daemons are others now.
+    /// Handles a change of the members: drops the buckets that other hosts are responsible for.
     pub(super) fn on_members(&mut self, now: Timestamp, members: &Members) {
-        self.since = now;
+        self.members_since = now;
         let (quotas, tolerance) = (&self.quotas, &self.tolerance);
         self.buckets.retain(|workspace, _| {
             let quota = quotas.get(workspace);
-            quota.is_none_or(|quota| is_home(members, tolerance, workspace, *quota))
+            quota.is_none_or(|quota| is_allocator(members, tolerance, workspace, *quota))
         });
     }
 
-    /// Answers a line.
+    /// Answers one line of a batch.
     pub(super) fn answer(
         &mut self,
         now: Timestamp,
         members: &Members,
         line: &LeaseRequest,
     ) -> LeaseAnswer {
-        let held = self.quotas.get(&line.workspace).copied();
-        let quota = held.unwrap_or_else(|| line.quota.into());
-        if !is_home(members, &self.tolerance, &line.workspace, quota) {
+        let configured = self.quotas.get(&line.workspace).copied();
+        let quota = configured.unwrap_or_else(|| line.quota.into());
+        if !is_allocator(members, &self.tolerance, &line.workspace, quota) {
             return LeaseAnswer::NotHome;
         }
         let size = size(members, &self.tolerance, quota);
-        let ahead_at_most = ahead_at_most(members, &self.tolerance, quota);
-        let lacks_at_most = lacks_at_most(members, &self.tolerance, quota);
+        let max_prefetch = max_prefetch(members, &self.tolerance, quota);
+        let max_deficit = max_deficit(members, &self.tolerance, quota);
         let bucket = self.bucket(now, size, &line.workspace, quota);
         bucket.refill(now, size);
-        bucket.take_back(line.back, size);
-        let lacking = bucket.lacking(size);
-        if !line.knows && f64::from(lacking) > lacks_at_most {
-            // Others may be full. A daemon that does not know how much is lent out here weighs that first.
+        bucket.give_back(line.back, size);
+        let lacking = bucket.deficit(size);
+        if !line.knows && f64::from(lacking) > max_deficit {
+            // Other buckets may be full: the daemon compares the deficits before it asks again.
             return LeaseAnswer::Granted { credits: 0, lacking };
         }
-        let whole = bucket.level().max(0.0) as u32;
-        let needed = line.requests.min(whole);
-        let may_ahead = (ahead_at_most - bucket.lent()).max(0.0) as u32;
-        let ahead = line.ahead.min(whole - needed).min(may_ahead);
+        let available = bucket.level().max(0.0) as u32;
+        let needed = line.requests.min(available);
+        let prefetch_left = (max_prefetch - bucket.leased()).max(0.0) as u32;
+        let prefetched = line.ahead.min(available - needed).min(prefetch_left);
         bucket.charge(needed.into());
-        if ahead > 0 {
-            let end = now + LEASE_LIFE + MARGIN;
-            bucket.lend(Loan { end, tokens: ahead.into() });
+        if prefetched > 0 {
+            let expires_at = now + LEASE_VALIDITY + CLOCK_MARGIN;
+            bucket.grant(GrantedLease { expires_at, tokens: prefetched.into() });
         }
-        let credits = needed + ahead;
+        let credits = needed + prefetched;
         if credits > 0 || line.requests == 0 {
-            return LeaseAnswer::Granted { credits, lacking: bucket.lacking(size) };
+            return LeaseAnswer::Granted { credits, lacking: bucket.deficit(size) };
         }
-        let away = bucket.time_until(1.0, size).max(AWAY_AT_LEAST);
-        LeaseAnswer::OverForMs(u32::try_from(away.as_millis()).unwrap_or(u32::MAX))
+        let retry_after = bucket.time_until(1.0, size).max(MIN_RETRY_AFTER);
+        LeaseAnswer::OverForMs(u32::try_from(retry_after.as_millis()).unwrap_or(u32::MAX))
     }
 
     fn bucket(
@@ -132,35 +137,35 @@
         workspace: &Arc<str>,
         quota: Quota,
     ) -> &mut Bucket {
-        // Homes that went before may have lent all there was when this one began.
-        let parts = quota.per_second / size.per_second;
-        let at_start = INITIAL_SHARE * self.tolerance.room(quota) / parts;
-        let level = at_start + size.per_second * now.since(self.since).as_secs_f64();
+        // Previous allocators may have granted all credits by the time this one started.
+        let allocators = quota.per_second / size.per_second;
+        let initial = INITIAL_LEVEL_SHARE * self.tolerance.room(quota) / allocators;
+        let level = initial + size.per_second * now.since(self.members_since).as_secs_f64();
         let entry = self.buckets.entry(workspace.clone());
-        let kept = entry.or_insert_with(|| (Bucket::new(now, level, size), now));
-        kept.1 = now;
-        &mut kept.0
+        let used = entry.or_insert_with(|| (Bucket::new(now, level, size), now));
+        used.1 = now;
+        &mut used.0
     }
 
-    /// Forgets buckets that are as good as new.
+    /// Drops idle buckets that have the state of a new one.
     pub(super) fn sweep(&mut self, now: Timestamp) {
-        if now.since(self.swept) < IDLE {
+        if now.since(self.last_sweep) < IDLE_TIMEOUT {
             return;
         }
-        self.swept = now;
+        self.last_sweep = now;
         let (quotas, tolerance) = (&self.quotas, &self.tolerance);
-        let at_least = IDLE.max(tolerance.window);
-        self.buckets.retain(|workspace, (_, asked)| {
-            let idle = now.since(*asked);
-            let Some(quota) = quotas.get(workspace) else { return idle < at_least };
-            // One that is made anew may be full at once, so this one must be full as well.
+        let min_idle = IDLE_TIMEOUT.max(tolerance.window);
+        self.buckets.retain(|workspace, (_, used_at)| {
+            let idle = now.since(*used_at);
+            let Some(quota) = quotas.get(workspace) else { return idle < min_idle };
+            // A new bucket may be full at once, so a dropped one must be full too.
             let refilled = quota.per_second * idle.as_secs_f64();
-            idle < at_least || refilled < quota.burst + tolerance.room(*quota)
+            idle < min_idle || refilled < quota.burst + tolerance.room(*quota)
         });
     }
 }
 
-fn is_home(members: &Members, tolerance: &Tolerance, workspace: &str, quota: Quota) -> bool {
-    let homes = members.homes(workspace, count(members, tolerance, quota));
-    homes.contains(&members.own.host)
+fn is_allocator(members: &Members, tolerance: &Tolerance, workspace: &str, quota: Quota) -> bool {
+    let allocators = members.allocators(workspace, count(members, tolerance, quota));
+    allocators.contains(&members.own.host)
 }
--- a/crates/cherrystream-core/src/quota/leases.rs
+++ b/crates/cherrystream-core/src/quota/leases.rs
@@ -1,10 +1,12 @@
-//! Leases: a workspace has a home in each failure domain, which holds a part of its quota and lends it out.
+//! Enforces quotas by leases: each workspace has up to one allocator per failure domain, which
+//! grants leases of credits from its share of the quota.
 //!
-//! No sum over daemons is needed for the bound: the parts add up to the quota, and each home counts what it has lent.
-//! A daemon asks the home of its own failure domain first, and the others only for what that one lacks.
+//! The bound needs no counts summed over daemons: the shares add up to the quota, and each
+//! allocator accounts for its own grants. A daemon asks the allocator of its own failure domain
+//! first, and another one while the deficit of the first is high.
 
-use super::allocators::{self, Homes};
-use super::workspace_leases::{Backoff, Deficit, Lent};
+use super::allocators::{self, Allocators};
+use super::workspace_leases::{Backoff, Deficit, WorkspaceLeases};
 use super::{
     Charge, LeaseAnswer, LeaseBatch, LeaseRequest, Members, Policy, Reply, Tolerance, Try, Verdict,
 };
@@ -14,30 +16,33 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time for which a home that gave no answer is not asked: a request would wait for it each time.
-const SILENT_FOR: Duration = Duration::from_secs(1);
-/// Time between two questions for nothing but credits in advance: what was not lent just now is hardly lent at once.
-const AHEAD_EVERY: Duration = Duration::from_millis(250);
-/// Time for which a daemon that is no home is not asked: it may hold another revision.
-const NOT_HOME_FOR: Duration = Duration::from_millis(100);
-/// Questions to the home on this host for one request: the first may only tell what it lacks.
-const OWN_ASKS: u32 = 2;
-/// Part of the room beyond a quota that daemons may use which reach no home.
+/// Backoff after an allocator did not answer; keeps requests from waiting for it each time.
+const UNREACHABLE_BACKOFF: Duration = Duration::from_secs(1);
+/// Shortest interval between requests that only prefetch credits: an allocator that refused them
+/// is unlikely to grant them at once.
+const PREFETCH_INTERVAL: Duration = Duration::from_millis(250);
+/// Backoff after a daemon answered that it is not an allocator of the workspace: its revision may
+/// differ.
+const NOT_ALLOCATOR_BACKOFF: Duration = Duration::from_millis(100);
+/// Maximum calls to the allocator on this host for one request: the first may only return the
+/// deficit.
+const MAX_LOCAL_CALLS: u32 = 2;
+/// Share of the tolerance for daemons that cannot reach an allocator.
 const ISOLATED_SHARE: f64 = 0.05;
-/// Time after which a workspace is forgotten that nobody asked for.
-const IDLE: Duration = Duration::from_secs(60);
+/// Time after which the state of a workspace without requests is dropped.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The policy.
+/// [`Policy`] that admits requests against leases of credits.
 pub struct Leases {
     tolerance: Tolerance,
     members: Members,
-    homes: Homes,
-    lent: HashMap<Arc<str>, Lent>,
-    /// Workspaces with leases, or with something to tell.
+    allocators: Allocators,
+    workspaces: HashMap<Arc<str>, WorkspaceLeases>,
+    /// Workspaces with leases, waiting requests or credits to return.
     active: HashSet<Arc<str>>,
-    /// Homes that gave no answer, until when they are not asked.
-    silent: HashMap<Arc<str>, Timestamp>,
-    swept: Timestamp,
+    /// Allocators that did not answer, with the end of their backoff.
+    unreachable: HashMap<Arc<str>, Timestamp>,
+    last_sweep: Timestamp,
 }
 
 impl Leases {
@@ -46,117 +51,132 @@
         Leases {
             tolerance,
             members,
-            homes: Homes::new(tolerance),
-            lent: HashMap::new(),
+            allocators: Allocators::new(tolerance),
+            workspaces: HashMap::new(),
             active: HashSet::new(),
-            silent: HashMap::new(),
-            swept: Timestamp::default(),
+            unreachable: HashMap::new(),
+            last_sweep: Timestamp::default(),
         }
     }
 
-    fn prepare(&mut self, now: Timestamp, workspace: &Arc<str>, quota: Quota) -> &mut Lent {
-        let lent = self.lent.entry(workspace.clone()).or_default();
-        lent.seen = now;
-        lent.quota = Some(quota.into());
-        if lent.homes.is_empty() {
+    /// Updates the state of a workspace before a request is admitted.
+    fn prepare(
+        &mut self,
+        now: Timestamp,
+        workspace: &Arc<str>,
+        quota: Quota,
+    ) -> &mut WorkspaceLeases {
+        let leases = self.workspaces.entry(workspace.clone()).or_default();
+        leases.last_request = now;
+        leases.quota = Some(quota.into());
+        if leases.allocators.is_empty() {
             let count = allocators::count(&self.members, &self.tolerance, quota);
-            lent.homes = self.members.homes(workspace, count);
-            lent.lacked.clear();
+            leases.allocators = self.members.allocators(workspace, count);
+            leases.deficits.clear();
             let size = allocators::size(&self.members, &self.tolerance, quota);
-            lent.home_per_second = size.per_second;
-            lent.lacks_at_most = allocators::lacks_at_most(&self.members, &self.tolerance, quota);
-            let places = (ISOLATED_SHARE * self.tolerance.room(quota)) as usize;
-            lent.has_place = self.members.has_place(workspace, places);
+            leases.allocator_per_second = size.per_second;
+            leases.max_deficit = allocators::max_deficit(&self.members, &self.tolerance, quota);
+            let max_rank = (ISOLATED_SHARE * self.tolerance.room(quota)) as usize;
+            leases.may_run_isolated = self.members.is_ranked_within(workspace, max_rank);
         }
-        for home in &lent.homes {
-            let Some(until) = self.silent.get(home).filter(|until| **until > now) else { continue };
-            let known = lent.said.get(home).is_some_and(|said| said.until >= *until);
-            if !known {
-                lent.said.insert(home.clone(), Backoff { until: *until, at: now, away: true });
+        for allocator in &leases.allocators {
+            let Some(until) = self.unreachable.get(allocator).filter(|until| **until > now) else {
+                continue;
+            };
+            let covered = leases.backoffs.get(allocator).is_some_and(|b| b.until >= *until);
+            if !covered {
+                leases.backoffs.insert(
+                    allocator.clone(),
+                    Backoff { until: *until, received_at: now, unavailable: true },
+                );
             }
         }
-        lent
+        leases
     }
 
-    /// Asks the home on this host, which takes no batch.
-    fn ask_own(&mut self, now: Timestamp, workspace: &Arc<str>, requests: u32) {
-        let own = self.members.own.host.clone();
-        let Some(lent) = self.lent.get_mut(workspace) else { return };
-        let ahead = lent.demand.in_a_life(now);
-        let Some(line) = lent.line(now, workspace, &own) else { return };
-        let word = self.homes.answer(now, &self.members, &LeaseRequest { requests, ahead, ..line });
-        take_word(lent, now, now, &own, word);
+    /// Calls the allocator on this host directly, without a batch.
+    fn ask_local(&mut self, now: Timestamp, workspace: &Arc<str>, requests: u32) {
+        let local = self.members.own.host.clone();
+        let Some(leases) = self.workspaces.get_mut(workspace) else { return };
+        let ahead = leases.demand.within_lease(now);
+        let Some(line) = leases.line(now, workspace, &local) else { return };
+        let answer =
+            self.allocators.answer(now, &self.members, &LeaseRequest { requests, ahead, ..line });
+        record_answer(leases, now, now, &local, answer);
     }
 
-    /// Runs a request on the word of no home: a few daemons may, once in a window each.
-    fn alone(&mut self, now: Timestamp, workspace: &Arc<str>) -> Option<Verdict> {
+    /// Admits a request without a lease while an allocator is unavailable: few daemons may, once
+    /// per window each.
+    fn run_isolated(&mut self, now: Timestamp, workspace: &Arc<str>) -> Option<Verdict> {
         let window = self.tolerance.window;
-        let lent = self.lent.get_mut(workspace)?;
-        let spent = lent.ran_alone.is_some_and(|at| now.since(at) <= window);
-        if !lent.has_place || spent || !lent.is_out_of_reach(now) {
+        let leases = self.workspaces.get_mut(workspace)?;
+        let ran = leases.ran_isolated_at.is_some_and(|at| now.since(at) <= window);
+        if !leases.may_run_isolated || ran || !leases.is_out_of_reach(now) {
             return None;
         }
-        lent.ran_alone = Some(now);
+        leases.ran_isolated_at = Some(now);
         Some(Verdict::Run(Charge { workspace: workspace.clone(), home: None }))
     }
 
+    /// Returns the line that requests credits for a workspace, if one is due.
     fn next_line(
         &mut self,
         now: Timestamp,
         workspace: &Arc<str>,
     ) -> Option<(Arc<str>, LeaseRequest)> {
-        let own = self.members.own.host.clone();
-        let lent = self.lent.get_mut(workspace)?;
-        lent.lapse(now);
-        if lent.asking {
+        let local = self.members.own.host.clone();
+        let leases = self.workspaces.get_mut(workspace)?;
+        leases.expire(now);
+        if leases.in_flight {
             return None;
         }
-        let ahead = lent.demand.in_a_life(now).saturating_sub(lent.credits());
-        let wants_ahead = ahead > lent.credits() && lent.ahead_from <= now;
-        let wants = lent.waiting > 0 || wants_ahead;
-        let home = lent.next_home(now).filter(|_| wants)?.clone();
-        if home == own {
-            lent.ahead_from = now + AHEAD_EVERY;
-            let waiting = std::mem::take(&mut lent.waiting);
-            self.ask_own(now, workspace, waiting);
+        let ahead = leases.demand.within_lease(now).saturating_sub(leases.credits());
+        let wants_prefetch = ahead > leases.credits() && leases.prefetch_from <= now;
+        let due = leases.waiting > 0 || wants_prefetch;
+        let allocator = leases.next_allocator(now).filter(|_| due)?.clone();
+        if allocator == local {
+            leases.prefetch_from = now + PREFETCH_INTERVAL;
+            let waiting = std::mem::take(&mut leases.waiting);
+            self.ask_local(now, workspace, waiting);
             return None;
         }
-        let line = lent.line(now, workspace, &home)?;
-        lent.asking = true;
-        lent.ahead_from = now + AHEAD_EVERY;
-        let requests = lent.waiting;
-        Some((home, LeaseRequest { requests, ahead, ..line }))
+        let line = leases.line(now, workspace, &allocator)?;
+        leases.in_flight = true;
+        leases.prefetch_from = now + PREFETCH_INTERVAL;
+        let requests = leases.waiting;
+        Some((allocator, LeaseRequest { requests, ahead, ..line }))
     }
 
-    /// Returns what is given back to homes that are asked for nothing.
-    fn lines_back(
+    /// Returns the lines that only return unused credits.
+    fn returning_lines(
         &mut self,
         now: Timestamp,
         workspace: &Arc<str>,
     ) -> Vec<(Arc<str>, LeaseRequest)> {
-        let own = &self.members.own.host;
-        let Some(lent) = self.lent.get_mut(workspace) else { return Vec::new() };
+        let local = &self.members.own.host;
+        let Some(leases) = self.workspaces.get_mut(workspace) else { return Vec::new() };
         let mut lines = Vec::new();
-        let homes: Vec<Arc<str>> = lent.back.keys().cloned().collect();
-        for home in homes {
-            let Some(line) = lent.line(now, workspace, &home) else { continue };
-            if home == *own {
-                self.homes.answer(now, &self.members, &line);
+        let allocators: Vec<Arc<str>> = leases.unused.keys().cloned().collect();
+        for allocator in allocators {
+            let Some(line) = leases.line(now, workspace, &allocator) else { continue };
+            if allocator == *local {
+                self.allocators.answer(now, &self.members, &line);
             } else {
-                lines.push((home, line));
+                lines.push((allocator, line));
             }
         }
         lines
     }
 
     fn sweep(&mut self, now: Timestamp) {
-        self.homes.sweep(now);
-        if now.since(self.swept) < IDLE {
+        self.allocators.sweep(now);
+        if now.since(self.last_sweep) < IDLE_TIMEOUT {
             return;
         }
-        self.swept = now;
-        self.lent.retain(|_, lent| !lent.is_idle() || now.since(lent.seen) < IDLE);
-        self.silent.retain(|_, until| *until > now);
+        self.last_sweep = now;
+        self.workspaces
+            .retain(|_, leases| !leases.is_idle() || now.since(leases.last_request) < IDLE_TIMEOUT);
+        self.unreachable.retain(|_, until| *until > now);
     }
 }
 
@@ -166,52 +186,52 @@
             return;
         }
         self.members = members.clone();
-        self.homes.on_members(now, members);
-        for lent in self.lent.values_mut() {
-            lent.homes.clear();
-            lent.said.clear();
+        self.allocators.on_members(now, members);
+        for leases in self.workspaces.values_mut() {
+            leases.allocators.clear();
+            leases.backoffs.clear();
         }
     }
 
     fn set_quotas(&mut self, quotas: HashMap<Arc<str>, Quota>) {
-        // Another quota may have another number of homes, and what was said of the old one may hold no longer.
-        for lent in self.lent.values_mut() {
-            lent.homes.clear();
-            lent.said.clear();
+        // The number of allocators may change, and backoffs may be due to the old quota.
+        for leases in self.workspaces.values_mut() {
+            leases.allocators.clear();
+            leases.backoffs.clear();
         }
-        self.homes.set_quotas(quotas);
+        self.allocators.set_quotas(quotas);
     }
 
     fn admit(&mut self, now: Timestamp, workspace: &Arc<str>, quota: Quota, turn: Try) -> Verdict {
-        let own = self.members.own.host.clone();
+        let local = self.members.own.host.clone();
         self.active.insert(workspace.clone());
-        let lent = self.prepare(now, workspace, quota);
+        let leases = self.prepare(now, workspace, quota);
         if turn == Try::First {
-            lent.demand.note(now);
+            leases.demand.record(now);
         }
-        lent.lapse(now);
-        for _ in 0..OWN_ASKS {
-            let Some(lent) = self.lent.get(workspace) else { break };
-            if lent.credits() == 0 && lent.next_home(now) == Some(&own) {
-                self.ask_own(now, workspace, 1);
+        leases.expire(now);
+        for _ in 0..MAX_LOCAL_CALLS {
+            let Some(leases) = self.workspaces.get(workspace) else { break };
+            if leases.credits() == 0 && leases.next_allocator(now) == Some(&local) {
+                self.ask_local(now, workspace, 1);
             }
         }
-        let Some(lent) = self.lent.get_mut(workspace) else { return Verdict::Wait };
-        if let Some(home) = lent.take(now) {
-            return Verdict::Run(Charge { workspace: workspace.clone(), home: Some(home) });
+        let Some(leases) = self.workspaces.get_mut(workspace) else { return Verdict::Wait };
+        if let Some(allocator) = leases.take(now) {
+            return Verdict::Run(Charge { workspace: workspace.clone(), home: Some(allocator) });
         }
-        if lent.asking || lent.next_home(now).is_some() {
-            lent.waiting += 1;
+        if leases.in_flight || leases.next_allocator(now).is_some() {
+            leases.waiting += 1;
             return Verdict::Wait;
         }
-        let over = lent.over(now);
-        self.alone(now, workspace).unwrap_or(Verdict::Over(over))
+        let over = leases.over(now);
+        self.run_isolated(now, workspace).unwrap_or(Verdict::Over(over))
     }
 
     fn give_back(&mut self, _now: Timestamp, charge: &Charge) {
-        let Some(home) = &charge.home else { return };
-        let Some(lent) = self.lent.get_mut(&charge.workspace) else { return };
-        *lent.back.entry(home.clone()).or_default() += 1;
+        let Some(allocator) = &charge.home else { return };
+        let Some(leases) = self.workspaces.get_mut(&charge.workspace) else { return };
+        *leases.unused.entry(allocator.clone()).or_default() += 1;
         self.active.insert(charge.workspace.clone());
     }
 
@@ -220,12 +240,12 @@
         let mut active: Vec<Arc<str>> = self.active.iter().cloned().collect();
         active.sort();
         for workspace in active {
-            let asked = self.next_line(now, &workspace);
-            let given = self.lines_back(now, &workspace);
-            for (home, line) in asked.into_iter().chain(given) {
-                batches.entry(home).or_default().lines.push(line);
+            let requesting = self.next_line(now, &workspace);
+            let returning = self.returning_lines(now, &workspace);
+            for (allocator, line) in requesting.into_iter().chain(returning) {
+                batches.entry(allocator).or_default().lines.push(line);
             }
-            if self.lent.get(&workspace).is_none_or(Lent::is_idle) {
+            if self.workspaces.get(&workspace).is_none_or(WorkspaceLeases::is_idle) {
                 self.active.remove(&workspace);
             }
         }
@@ -234,8 +254,8 @@
     }
 
     fn answer(&mut self, now: Timestamp, batch: &LeaseBatch) -> Reply {
-        let (homes, members) = (&mut self.homes, &self.members);
-        let words = batch.lines.iter().map(|line| homes.answer(now, members, line)).collect();
+        let (allocators, members) = (&mut self.allocators, &self.members);
+        let words = batch.lines.iter().map(|line| allocators.answer(now, members, line)).collect();
         Reply { words }
     }
 
@@ -243,46 +263,61 @@
         &mut self,
         now: Timestamp,
         sent: Timestamp,
-        home: &Arc<str>,
+        allocator: &Arc<str>,
         batch: &LeaseBatch,
         reply: Option<&Reply>,
     ) {
         if reply.is_none() {
-            self.silent.insert(home.clone(), now + SILENT_FOR);
+            self.unreachable.insert(allocator.clone(), now + UNREACHABLE_BACKOFF);
         }
         for (n, line) in batch.lines.iter().enumerate() {
             if line.requests == 0 && line.ahead == 0 {
                 continue;
             }
-            let Some(lent) = self.lent.get_mut(&line.workspace) else { continue };
-            lent.asking = false;
-            lent.waiting = 0;
+            let Some(leases) = self.workspaces.get_mut(&line.workspace) else { continue };
+            leases.in_flight = false;
+            leases.waiting = 0;
             match reply.and_then(|reply| reply.words.get(n)) {
-                Some(word) => take_word(lent, now, sent, home, *word),
+                Some(answer) => record_answer(leases, now, sent, allocator, *answer),
                 None => {
-                    let said = Backoff { until: now + SILENT_FOR, at: now, away: true };
-                    lent.said.insert(home.clone(), said);
+                    let backoff = Backoff {
+                        until: now + UNREACHABLE_BACKOFF,
+                        received_at: now,
+                        unavailable: true,
+                    };
+                    leases.backoffs.insert(allocator.clone(), backoff);
                 }
             }
         }
     }
 }
 
-fn take_word(lent: &mut Lent, now: Timestamp, sent: Timestamp, home: &Arc<str>, word: LeaseAnswer) {
-    let said = match word {
+/// Records the answer to a line of a batch that was sent at `sent`.
+fn record_answer(
+    leases: &mut WorkspaceLeases,
+    now: Timestamp,
+    sent: Timestamp,
+    allocator: &Arc<str>,
+    answer: LeaseAnswer,
+) {
+    let backoff = match answer {
         LeaseAnswer::Granted { credits, lacking } => {
-            lent.said.remove(home);
-            lent.lacked.insert(home.clone(), Deficit { credits: lacking, at: now });
+            leases.backoffs.remove(allocator);
+            leases
+                .deficits
+                .insert(allocator.clone(), Deficit { credits: lacking, received_at: now });
             if credits > 0 {
-                lent.put(home, credits, sent);
+                leases.add(allocator, credits, sent);
             }
             return;
         }
         LeaseAnswer::OverForMs(ms) => {
             let until = now + Duration::from_millis(ms.into());
-            Backoff { until, at: now, away: false }
+            Backoff { until, received_at: now, unavailable: false }
+        }
+        LeaseAnswer::NotHome => {
+            Backoff { until: now + NOT_ALLOCATOR_BACKOFF, received_at: now, unavailable: true }
         }
-        LeaseAnswer::NotHome => Backoff { until: now + NOT_HOME_FOR, at: now, away: true },
     };
-    lent.said.insert(home.clone(), said);
+    leases.backoffs.insert(allocator.clone(), backoff);
 }
--- a/crates/cherrystream-core/src/quota/members.rs
+++ b/crates/cherrystream-core/src/quota/members.rs
@@ -1,4 +1,4 @@
-//! Which daemons decide on a workspace.
+//! The daemons that share the quotas, and the choice of the allocators of a workspace.
 
 use siphasher::sip::SipHasher13;
 use std::cmp::Reverse;
@@ -6,35 +6,37 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// Hosts of a failure domain that may be homes: with more, each daemon would keep connections to all of them.
-const HOMES_IN_A_DOMAIN: usize = 32;
+/// Maximum number of hosts per failure domain that may be allocators; bounds the connections of
+/// each daemon.
+const MAX_ALLOCATORS_PER_DOMAIN: usize = 32;
 
-/// Name under which hosts are ranked for being homes; no workspace has it.
-const SEATS: &str = "";
+/// Hash input in place of a workspace when the eligible hosts are selected; no workspace has this
+/// name.
+const ELIGIBILITY_KEY: &str = "";
 
 /// A daemon that shares the quotas.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its host.
+    /// Name of its host.
     pub host: Arc<str>,
     /// Failure domain of its host.
     pub domain: Arc<str>,
 }
 
-/// The daemons that share the quotas, as one of them knows them.
+/// The daemons that share the quotas, as seen by one of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Members {
-    /// The one that knows them.
+    /// The daemon that holds this list.
     pub own: Member,
     by_domain: BTreeMap<Arc<str>, Vec<Arc<str>>>,
-    /// Hosts that may be homes.
-    seats: BTreeMap<Arc<str>, Vec<Arc<str>>>,
+    /// Hosts that may be allocators, by failure domain.
+    eligible: BTreeMap<Arc<str>, Vec<Arc<str>>>,
     count: usize,
 }
 
 impl Members {
-    /// Takes the daemons. The own one is among them unless it leaves or is not known yet: it lends nothing then, for another
-    /// has its part.
+    /// Creates the list. The own daemon is among `all` unless it is leaving or has not registered
+    /// yet; another daemon then allocates in its place.
     pub fn new(own: Member, all: impl IntoIterator<Item = Member>) -> Members {
         let mut by_domain: BTreeMap<Arc<str>, Vec<Arc<str>>> = BTreeMap::new();
         for member in all {
@@ -45,15 +47,15 @@
             hosts.dedup();
         }
         let count = by_domain.values().map(Vec::len).sum();
-        let mut seats = by_domain.clone();
-        for hosts in seats.values_mut() {
-            hosts.sort_by_cached_key(|host| Reverse(score(SEATS, host)));
-            hosts.truncate(HOMES_IN_A_DOMAIN);
+        let mut eligible = by_domain.clone();
+        for hosts in eligible.values_mut() {
+            hosts.sort_by_cached_key(|host| Reverse(score(ELIGIBILITY_KEY, host)));
+            hosts.truncate(MAX_ALLOCATORS_PER_DOMAIN);
         }
-        Members { own, by_domain, seats, count }
+        Members { own, by_domain, eligible, count }
     }
 
-    /// Returns how many there are.
+    /// Returns the number of daemons.
     pub fn count(&self) -> usize {
         self.count
     }
@@ -63,38 +65,42 @@
         self.by_domain.len()
     }
 
-    /// Returns the homes of a workspace, at most one in each failure domain: by rendezvous hashing (Thaler and
-    /// Ravishankar, 1998), so that few move when a host comes or goes. The nearest comes first.
-    pub(super) fn homes(&self, workspace: &str, at_most: usize) -> Vec<Arc<str>> {
-        let mut domains: Vec<_> = self.seats.iter().collect();
+    /// Returns the allocators of a workspace, at most one per failure domain, nearest first. Chosen
+    /// by rendezvous hashing (Thaler and Ravishankar, 1998), so few change when a host joins or
+    /// leaves.
+    pub(super) fn allocators(&self, workspace: &str, max_count: usize) -> Vec<Arc<str>> {
+        let mut domains: Vec<_> = self.eligible.iter().collect();
         domains.sort_by_key(|(domain, _)| Reverse(score(workspace, domain)));
-        domains.truncate(at_most);
+        domains.truncate(max_count);
         let shift = usize::from(score(workspace, &self.own.host).is_multiple_of(2));
         if domains.len() > 2 {
-            // The others are asked in turns, or one of them would get all that the first one lacks.
+            // Daemons use different orders; else one allocator would get all overflow of another.
             let own = domains.iter().position(|(domain, _)| **domain == self.own.domain);
             domains.rotate_left(own.unwrap_or(shift));
             domains[1..].rotate_left(shift);
         } else {
             domains.sort_by_key(|(domain, _)| **domain != self.own.domain);
         }
-        domains.into_iter().filter_map(|(_, hosts)| first(workspace, hosts)).collect()
+        domains.into_iter().filter_map(|(_, hosts)| top_ranked(workspace, hosts)).collect()
     }
 
-    /// Returns the home of a workspace among all hosts.
+    /// Returns the one allocator of a workspace, chosen among the hosts of all failure domains.
     pub fn only_home(&self, workspace: &str) -> Option<Arc<str>> {
-        first(workspace, self.seats.values().flatten())
+        top_ranked(workspace, self.eligible.values().flatten())
     }
 
-    /// Returns whether the own host is among the first `places` for a workspace.
-    pub(super) fn has_place(&self, workspace: &str, places: usize) -> bool {
+    /// Returns whether the own host is among the first `max_rank` hosts for a workspace.
+    pub(super) fn is_ranked_within(&self, workspace: &str, max_rank: usize) -> bool {
         let own = rank(workspace, &self.own.host);
         let before = |host: &&Arc<str>| rank(workspace, host) > own;
-        self.by_domain.values().flatten().filter(before).count() < places
+        self.by_domain.values().flatten().filter(before).count() < max_rank
     }
 }
 
-fn first<'a>(workspace: &str, hosts: impl IntoIterator<Item = &'a Arc<str>>) -> Option<Arc<str>> {
+fn top_ranked<'a>(
+    workspace: &str,
+    hosts: impl IntoIterator<Item = &'a Arc<str>>,
+) -> Option<Arc<str>> {
     hosts.into_iter().max_by_key(|host| rank(workspace, host)).cloned()
 }
 
--- a/crates/cherrystream-core/src/quota/mod.rs
+++ b/crates/cherrystream-core/src/quota/mod.rs
@@ -1,7 +1,7 @@
-//! Quotas over all hosts: how many requests of a workspace run, summed over all daemons.
+//! Quotas limit the request rate of a workspace over all daemons together.
 //!
-//! A [`Policy`] decides at each daemon. It answers requests at once where it can, and exchanges batches with the
-//! policies of other daemons. [`Leases`] is the one in use.
+//! Each daemon has a [`Policy`], which decides at once where it can and exchanges batches with
+//! those of other daemons. Daemons use [`Leases`].
 
 mod allocators;
 mod bucket;
@@ -19,74 +19,74 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Thousandths of a request.
+/// Thousandths per request.
 const MILLI: f64 = 1_000.0;
 
-/// How far all daemons together may go beyond a quota.
+/// Limit on requests admitted beyond a quota by all daemons together.
 #[derive(Clone, Copy, Debug)]
 pub struct Tolerance {
-    /// Time over which requests are summed.
+    /// Length of the sliding window in which requests are counted.
     pub window: Duration,
-    /// Share of a quota that may be sent beyond it within a window.
+    /// Share of the quota that may be exceeded within a window, from 0 to 1.
     pub over: f64,
-    /// Requests beyond that within a window.
+    /// Further requests allowed within a window.
     pub slack: f64,
 }
 
 impl Tolerance {
-    /// Returns how many requests beyond its quota a workspace may send within a window.
+    /// Returns the requests beyond its quota that a workspace may send within a window.
     pub fn room(&self, quota: Quota) -> f64 {
         let allowed = quota.per_second * self.window.as_secs_f64() + quota.burst;
         self.over * allowed + self.slack
     }
 }
 
-/// Whether a request is decided on for the first time.
+/// Distinguishes the first decision on a request from repeated ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Try {
-    /// It has just been read.
+    /// The request has just been read.
     First,
-    /// It has waited for an answer of another daemon.
+    /// The request has waited for an answer of another daemon.
     Again,
 }
 
-/// A request's part of a quota.
+/// The credit used by an admitted request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Charge {
-    /// Workspace that it counts for.
+    /// Workspace whose quota it counts against.
     pub workspace: Arc<str>,
-    /// Host whose daemon granted it.
+    /// Host of the allocator that granted it; `None` if the request ran without a lease.
     pub home: Option<Arc<str>>,
 }
 
 /// Why a request is over the quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Over {
-    /// Time after which another request may run.
+    /// Time after which a retry may be admitted.
     pub retry_after: Duration,
-    /// Age of the word that this rests on.
+    /// Age of the allocator's answer behind the refusal.
     pub answer_age: Duration,
-    /// Whether some daemon that grants was out of reach.
+    /// Whether some allocator was unavailable.
     pub out_of_reach: bool,
 }
 
-/// What is decided on a request.
+/// Decision on a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may run.
+    /// The request may run.
     Run(Charge),
-    /// It is refused.
+    /// The request is refused.
     Over(Over),
-    /// It is decided on once more when an answer comes.
+    /// The decision is repeated when an answer arrives.
     Wait,
 }
 
-/// A quota in whole numbers.
+/// A quota in fixed-point numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaMilli {
-    /// Thousandths of a request a second.
+    /// Rate, in thousandths of a request per second.
     pub milli_per_s: u64,
-    /// Thousandths of a request on top at once.
+    /// Burst, in thousandths of a request.
     pub burst_milli: u64,
 }
 
@@ -98,79 +98,79 @@
 }
 
 impl From<QuotaMilli> for Quota {
-    fn from(word: QuotaMilli) -> Quota {
-        let whole = |milli: u64| milli as f64 / MILLI;
-        Quota { per_second: whole(word.milli_per_s), burst: whole(word.burst_milli) }
+    fn from(quota: QuotaMilli) -> Quota {
+        let requests = |milli: u64| milli as f64 / MILLI;
+        Quota { per_second: requests(quota.milli_per_s), burst: requests(quota.burst_milli) }
     }
 }
 
-/// What a daemon tells another on one workspace.
+/// A daemon's request to an allocator of one workspace.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// The workspace.
     pub workspace: Arc<str>,
-    /// Its quota, for a daemon that does not hold the revision yet which brings it.
+    /// Its quota, for an allocator that does not have the revision with it yet.
     pub quota: QuotaMilli,
-    /// Requests that wait, or have run since the last batch.
+    /// Requests that wait for credits, or that ran without them since the last batch.
     pub requests: u32,
-    /// Requests that are expected soon.
+    /// Credits wanted for expected requests.
     pub ahead: u32,
-    /// Whether the daemon knows what the home lacks, so that it asks there for good reason.
+    /// Whether the daemon took the allocator's recent deficit into account.
     pub knows: bool,
-    /// Credits that were granted and are not used.
+    /// Unused credits returned to the allocator.
     pub back: u32,
 }
 
-/// What a daemon tells another.
+/// A batch of requests from one daemon to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseBatch {
-    /// A line for each workspace.
+    /// One line per workspace and purpose.
     pub lines: Vec<LeaseRequest>,
 }
 
-/// What is answered to a line.
+/// Answer to a line of a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseAnswer {
-    /// Requests may run.
+    /// Credits are granted.
     Granted {
-        /// So many.
+        /// Number of credits; may be 0.
         credits: u32,
-        /// Credits that the answering daemon lacks until it holds all that it may.
+        /// Credits missing from the allocator's full bucket.
         lacking: u32,
     },
-    /// None may run for so many milliseconds.
+    /// The quota is used up; a retry may succeed after this time in milliseconds.
     OverForMs(u32),
-    /// The answering daemon does not decide on this workspace.
+    /// The answering daemon is not an allocator of this workspace.
     NotHome,
 }
 
 /// Answers to the lines of a batch, in their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reply {
-    /// A word for each line.
+    /// One answer per line.
     pub words: Vec<LeaseAnswer>,
 }
 
-/// Decides which requests of a workspace run.
+/// Enforces quotas at one daemon.
 pub trait Policy: Send {
-    /// Takes the daemons that share the quotas.
+    /// Sets the daemons that share the quotas.
     fn set_members(&mut self, now: Timestamp, members: &Members);
-    /// Takes the quotas in force.
+    /// Sets the quotas in force, by workspace.
     fn set_quotas(&mut self, quotas: HashMap<Arc<str>, Quota>);
     /// Decides on a request.
     fn admit(&mut self, now: Timestamp, workspace: &Arc<str>, quota: Quota, turn: Try) -> Verdict;
-    /// Takes back the charge of a request that was not run and never will be.
+    /// Returns the credit of a request that did not run and never will.
     fn give_back(&mut self, now: Timestamp, charge: &Charge);
-    /// Returns the batches that are due, by host.
+    /// Returns the batches that are due, each with the host to send it to.
     fn outgoing(&mut self, now: Timestamp) -> Vec<(Arc<str>, LeaseBatch)>;
     /// Answers a batch of another daemon.
     fn answer(&mut self, now: Timestamp, batch: &LeaseBatch) -> Reply;
-    /// Takes the answer to a batch that was sent at `sent`, or that none came.
+    /// Handles the reply to a batch that was sent at `sent`; `None` if no reply arrived.
     fn replied(
         &mut self,
         now: Timestamp,
         sent: Timestamp,
-        home: &Arc<str>,
+        allocator: &Arc<str>,
         batch: &LeaseBatch,
         reply: Option<&Reply>,
     );
--- a/crates/cherrystream-core/src/quota/workspace_leases.rs
+++ b/crates/cherrystream-core/src/quota/workspace_leases.rs
@@ -1,4 +1,4 @@
-//! What one daemon holds and knows of one workspace.
+//! Leases of one workspace at one daemon, and the last answers of its allocators.
 
 use super::{LeaseRequest, Over, QuotaMilli};
 use crate::units::Timestamp;
@@ -6,186 +6,191 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time for which credits that were granted are good: long enough for a daemon that sees a few requests a second of a
-/// workspace to use them, short enough that few lie where nobody asks.
-pub(super) const LEASE_LIFE: Duration = Duration::from_millis(500);
-/// Time over which requests are counted to tell how many come.
-const DEMAND_OVER: Duration = Duration::from_secs(1);
+/// Validity of granted credits: long enough for a daemon with a few requests per second to use
+/// them, short enough that few lie unused.
+pub(super) const LEASE_VALIDITY: Duration = Duration::from_millis(500);
+/// Window over which the request rate is measured.
+const DEMAND_WINDOW: Duration = Duration::from_secs(1);
 
-/// Time for which a daemon relies on what a home said that it lacks: others may have taken a burst since.
-const KNOWN_FOR: Duration = Duration::from_millis(250);
+/// Validity of a reported deficit: other daemons may have taken a burst since.
+const DEFICIT_VALIDITY: Duration = Duration::from_millis(250);
 
-/// Requests seen of late.
+/// Recent request rate of a workspace.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Demand {
-    began: Timestamp,
+    window_start: Timestamp,
     count: u32,
     per_second: f64,
 }
 
 impl Demand {
-    pub(super) fn note(&mut self, now: Timestamp) {
-        let over = now.since(self.began);
-        if over >= DEMAND_OVER {
-            self.per_second = f64::from(self.count) / over.as_secs_f64();
-            (self.began, self.count) = (now, 0);
+    /// Counts a request.
+    pub(super) fn record(&mut self, now: Timestamp) {
+        let elapsed = now.since(self.window_start);
+        if elapsed >= DEMAND_WINDOW {
+            self.per_second = f64::from(self.count) / elapsed.as_secs_f64();
+            (self.window_start, self.count) = (now, 0);
         }
         self.count += 1;
     }
 
-    /// Returns the requests that come within the life of a lease.
-    pub(super) fn in_a_life(&self, now: Timestamp) -> u32 {
-        let over = now.since(self.began);
+    /// Returns the number of requests expected within the validity of a lease.
+    pub(super) fn within_lease(&self, now: Timestamp) -> u32 {
+        let elapsed = now.since(self.window_start);
         let seen = f64::from(self.count);
-        // Where no request has come for long, none is expected.
-        let per_second = match over >= DEMAND_OVER {
-            true => seen / over.as_secs_f64(),
+        // Without requests for a whole window, the previous rate is outdated.
+        let per_second = match elapsed >= DEMAND_WINDOW {
+            true => seen / elapsed.as_secs_f64(),
             false => self.per_second.max(seen),
         };
-        (per_second * LEASE_LIFE.as_secs_f64()) as u32
+        (per_second * LEASE_VALIDITY.as_secs_f64()) as u32
     }
 }
 
-/// What a home said last.
+/// Time for which an allocator is not asked.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Backoff {
     pub(super) until: Timestamp,
-    pub(super) at: Timestamp,
-    /// Whether it said nothing, or that it is no home.
-    pub(super) away: bool,
+    /// Time of the answer, or of the timeout.
+    pub(super) received_at: Timestamp,
+    /// Whether it did not answer, or is not an allocator of the workspace.
+    pub(super) unavailable: bool,
 }
 
-/// What a home lacked when it was last asked.
+/// Credits missing from a full bucket, as last reported by an allocator.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Deficit {
     pub(super) credits: u32,
-    pub(super) at: Timestamp,
+    pub(super) received_at: Timestamp,
 }
 
 struct Lease {
-    home: Arc<str>,
+    allocator: Arc<str>,
     credits: u32,
-    end: Timestamp,
+    expires_at: Timestamp,
 }
 
-/// What one daemon holds and knows of one workspace.
+/// Leases of one workspace at one daemon, and the state of its allocators.
 #[derive(Default)]
-pub(super) struct Lent {
-    /// Its quota by the last request.
+pub(super) struct WorkspaceLeases {
+    /// Quota at the last request.
     pub(super) quota: Option<QuotaMilli>,
-    pub(super) homes: Vec<Arc<str>>,
-    /// What the homes lacked.
-    pub(super) lacked: HashMap<Arc<str>, Deficit>,
-    /// Credits a second that a home gets.
-    pub(super) home_per_second: f64,
-    /// What the nearest home may lack while it is asked first.
-    pub(super) lacks_at_most: f64,
-    /// Whether this daemon may run a request where no home can be reached.
-    pub(super) has_place: bool,
+    /// Allocators of the workspace, nearest first; cleared when they have to be determined again.
+    pub(super) allocators: Vec<Arc<str>>,
+    pub(super) deficits: HashMap<Arc<str>, Deficit>,
+    /// Refill rate of each allocator, in credits per second.
+    pub(super) allocator_per_second: f64,
+    /// Deficit up to which the nearest allocator is asked first.
+    pub(super) max_deficit: f64,
+    /// Whether this daemon may run requests while allocators are unreachable.
+    pub(super) may_run_isolated: bool,
     pub(super) demand: Demand,
-    /// Time from which credits may be asked for in advance again.
-    pub(super) ahead_from: Timestamp,
-    /// Requests that wait for an answer.
+    /// Earliest time of the next request for nothing but expected demand.
+    pub(super) prefetch_from: Timestamp,
+    /// Requests waiting for credits.
     pub(super) waiting: u32,
-    /// Whether an answer is awaited.
-    pub(super) asking: bool,
-    pub(super) said: HashMap<Arc<str>, Backoff>,
-    /// Credits to give back.
-    pub(super) back: HashMap<Arc<str>, u32>,
-    /// When a request was last run on the word of no home.
-    pub(super) ran_alone: Option<Timestamp>,
-    pub(super) seen: Timestamp,
+    /// Whether a batch with a request for credits is in flight.
+    pub(super) in_flight: bool,
+    pub(super) backoffs: HashMap<Arc<str>, Backoff>,
+    /// Unused credits to return, by allocator.
+    pub(super) unused: HashMap<Arc<str>, u32>,
+    /// Time of the last request that ran without a lease.
+    pub(super) ran_isolated_at: Option<Timestamp>,
+    pub(super) last_request: Timestamp,
     leases: Vec<Lease>,
 }
 
-impl Lent {
-    /// Returns a line to a home, with what is given back to it.
+impl WorkspaceLeases {
+    /// Returns a line for an allocator, with the unused credits to return to it.
     pub(super) fn line(
         &mut self,
         now: Timestamp,
         workspace: &Arc<str>,
-        home: &Arc<str>,
+        allocator: &Arc<str>,
     ) -> Option<LeaseRequest> {
-        let back = self.back.remove(home).unwrap_or_default();
+        let back = self.unused.remove(allocator).unwrap_or_default();
         Some(LeaseRequest {
             workspace: workspace.clone(),
             quota: self.quota?,
             requests: 0,
             ahead: 0,
-            knows: self.homes.len() < 2 || self.knows(now, home),
+            knows: self.allocators.len() < 2 || self.is_deficit_known(now, allocator),
             back,
         })
     }
 
-    /// Returns the credits held.
+    /// Returns the number of credits held.
     pub(super) fn credits(&self) -> u32 {
         self.leases.iter().map(|lease| lease.credits).sum()
     }
 
-    /// Takes a credit; returns the home that granted it.
+    /// Takes a credit; returns the allocator that granted it.
     pub(super) fn take(&mut self, now: Timestamp) -> Option<Arc<str>> {
-        self.lapse(now);
+        self.expire(now);
         let lease = self.leases.first_mut()?;
         lease.credits -= 1;
-        let home = lease.home.clone();
+        let allocator = lease.allocator.clone();
         self.leases.retain(|lease| lease.credits > 0);
-        Some(home)
+        Some(allocator)
     }
 
-    /// Notes a lease that was asked for at `sent`.
-    pub(super) fn put(&mut self, home: &Arc<str>, credits: u32, sent: Timestamp) {
-        let end = sent + LEASE_LIFE;
-        self.leases.push(Lease { home: home.clone(), credits, end });
+    /// Adds a lease that was requested at `sent`.
+    pub(super) fn add(&mut self, allocator: &Arc<str>, credits: u32, sent: Timestamp) {
+        let expires_at = sent + LEASE_VALIDITY;
+        self.leases.push(Lease { allocator: allocator.clone(), credits, expires_at });
     }
 
-    /// Ends the leases whose time is over.
-    pub(super) fn lapse(&mut self, now: Timestamp) {
-        for lease in self.leases.extract_if(.., |lease| lease.end <= now) {
-            *self.back.entry(lease.home).or_default() += lease.credits;
+    /// Removes expired leases and records their unused credits.
+    pub(super) fn expire(&mut self, now: Timestamp) {
+        for lease in self.leases.extract_if(.., |lease| lease.expires_at <= now) {
+            *self.unused.entry(lease.allocator).or_default() += lease.credits;
         }
     }
 
-    /// Returns the next home to ask: the nearest, or the one that holds most when that has lent out much.
-    pub(super) fn next_home(&self, now: Timestamp) -> Option<&Arc<str>> {
-        let may_grant = |home: &&Arc<str>| self.said.get(*home).is_none_or(|s| s.until <= now);
-        let nearest = self.homes.first().filter(may_grant);
-        let is_full = |home: &&Arc<str>| self.lacks(now, home) <= self.lacks_at_most;
-        nearest.filter(is_full).or_else(|| {
-            let able = self.homes.iter().filter(may_grant);
-            able.min_by(|a, b| self.lacks(now, a).total_cmp(&self.lacks(now, b)))
+    /// Returns the next allocator to ask: the nearest, or the one with the lowest deficit if that
+    /// of the nearest is too high.
+    pub(super) fn next_allocator(&self, now: Timestamp) -> Option<&Arc<str>> {
+        let may_grant =
+            |allocator: &&Arc<str>| self.backoffs.get(*allocator).is_none_or(|b| b.until <= now);
+        let nearest = self.allocators.first().filter(may_grant);
+        let is_within_max =
+            |allocator: &&Arc<str>| self.deficit(now, allocator) <= self.max_deficit;
+        nearest.filter(is_within_max).or_else(|| {
+            let available = self.allocators.iter().filter(may_grant);
+            available.min_by(|a, b| self.deficit(now, a).total_cmp(&self.deficit(now, b)))
         })
     }
 
-    /// Returns whether the home said of late what it lacks.
-    fn knows(&self, now: Timestamp, home: &str) -> bool {
-        self.lacked.get(home).is_some_and(|lacked| now.since(lacked.at) <= KNOWN_FOR)
+    /// Returns whether the allocator reported its deficit recently.
+    fn is_deficit_known(&self, now: Timestamp, allocator: &str) -> bool {
+        self.deficits.get(allocator).is_some_and(|d| now.since(d.received_at) <= DEFICIT_VALIDITY)
     }
 
-    /// Returns what a home is thought to lack.
-    fn lacks(&self, now: Timestamp, home: &str) -> f64 {
-        let Some(lacked) = self.lacked.get(home) else { return 0.0 };
-        let since = now.since(lacked.at).as_secs_f64();
-        (f64::from(lacked.credits) - since * self.home_per_second).max(0.0)
+    /// Estimates the deficit of an allocator, in credits.
+    fn deficit(&self, now: Timestamp, allocator: &str) -> f64 {
+        let Some(reported) = self.deficits.get(allocator) else { return 0.0 };
+        let age = now.since(reported.received_at).as_secs_f64();
+        (f64::from(reported.credits) - age * self.allocator_per_second).max(0.0)
     }
 
-    /// Returns whether some home is out of reach.
+    /// Returns whether some allocator is unavailable.
     pub(super) fn is_out_of_reach(&self, now: Timestamp) -> bool {
-        self.homes.is_empty() || self.said.values().any(|said| said.away && said.until > now)
+        self.allocators.is_empty() || self.backoffs.values().any(|b| b.unavailable && b.until > now)
     }
 
-    /// Returns why a request is over the quota.
+    /// Describes a refusal.
     pub(super) fn over(&self, now: Timestamp) -> Over {
-        // One that said nothing promises no credit.
-        let said = self.said.values().filter(|said| said.until > now);
-        let first = said.min_by_key(|said| (said.away, said.until));
+        // Prefers allocators that answered: the others promise no credit.
+        let backoffs = self.backoffs.values().filter(|b| b.until > now);
+        let first = backoffs.min_by_key(|b| (b.unavailable, b.until));
         Over {
-            retry_after: first.map_or(LEASE_LIFE, |said| said.until.since(now)),
-            answer_age: first.map_or(Duration::ZERO, |said| now.since(said.at)),
+            retry_after: first.map_or(LEASE_VALIDITY, |b| b.until.since(now)),
+            answer_age: first.map_or(Duration::ZERO, |b| now.since(b.received_at)),
             out_of_reach: self.is_out_of_reach(now),
         }
     }
 
     pub(super) fn is_idle(&self) -> bool {
-        self.leases.is_empty() && self.back.is_empty() && self.waiting == 0 && !self.asking
+        self.leases.is_empty() && self.unused.is_empty() && self.waiting == 0 && !self.in_flight
     }
 }
--- a/crates/cherrystream-core/src/settings.rs
+++ b/crates/cherrystream-core/src/settings.rs
@@ -1,33 +1,33 @@
-//! Reads settings and checks them: each fault names its line, the value and the remedy.
+//! Reads and validates settings files. Each error names the line, the value and the remedy.
 
 use cherrystream_schema::settings::{ControlSettings, DaemonSettings, SeedSettings, Settings};
 use snafu::Snafu;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Levels that `log` may name.
+/// Values of `log`.
 const LOG_LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
 
 /// Result of reading settings.
 pub type Result<T, E = SettingsError> = std::result::Result<T, E>;
 
-/// What is wrong with a settings file.
+/// Error in a settings file.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(display("line {line}: {what}; {remedy}"))]
 pub struct SettingsError {
-    /// Line in the file, from 1.
+    /// Line number in the file, from 1.
     pub line: usize,
-    /// What is wrong, with the value.
+    /// The fault, with the value.
     pub what: String,
-    /// What to do about it.
+    /// How to correct it.
     pub remedy: String,
 }
 
-/// Reads and checks settings.
+/// Reads and validates settings.
 ///
 /// # Errors
 ///
-/// Fails at the first fault, with its line, its value and the remedy.
+/// Returns the first fault.
 pub fn read(text: &str) -> Result<Settings> {
     let settings: Settings = serde_yaml_ng::from_str(text).map_err(|e| yaml_error(text, &e))?;
     let checker = Checker { text };
@@ -85,11 +85,11 @@
         self.fail("log", &format!("log is '{level}'"), &remedy)
     }
 
-    /// Listening addresses must parse and differ.
+    /// Checks that the listening addresses are valid and differ.
     fn check_addresses(&self, settings: &Settings) -> Result<()> {
         let mut seen = BTreeMap::new();
-        for (key, value) in listening(settings) {
-            let address = self.address(key, value)?;
+        for (key, value) in listening_addresses(settings) {
+            let address = self.parse_address(key, value)?;
             if address.port() == 0 {
                 continue;
             }
@@ -101,11 +101,11 @@
         Ok(())
     }
 
-    fn address(&self, key: &str, value: &str) -> Result<SocketAddr> {
+    fn parse_address(&self, key: &str, value: &str) -> Result<SocketAddr> {
         match value.parse() {
             Ok(address) => Ok(address),
             Err(_) => {
-                let what = format!("{key} is '{value}', which is no address");
+                let what = format!("{key} is '{value}', which is not an address");
                 self.fail(key, &what, "use IP:PORT, such as 127.0.0.1:7100")
             }
         }
@@ -126,10 +126,10 @@
             }
         }
         for address in &daemon.control {
-            self.address("control", address)?;
+            self.parse_address("control", address)?;
         }
         for address in &daemon.peers {
-            self.address("peers", address)?;
+            self.parse_address("peers", address)?;
         }
         if daemon.change_within_s.is_nan() || daemon.change_within_s <= 0.0 {
             let what = format!("change_within_s is {}", daemon.change_within_s);
@@ -195,7 +195,7 @@
         }
         let mut numbers = BTreeMap::new();
         for replica in &control.replicas {
-            self.address("replicas", &replica.rpc_address)?;
+            self.parse_address("replicas", &replica.rpc_address)?;
             if numbers.insert(replica.replica, &replica.rpc_address).is_some() {
                 let what = format!("replicas lists replica {} twice", replica.replica);
                 return self.fail("replicas", &what, "give each replica its own number");
@@ -223,7 +223,7 @@
             return self.fail("seeds", "seeds lists no address", "list hosts of control replicas");
         }
         for address in &seeds.addresses {
-            self.address("addresses", address)?;
+            self.parse_address("addresses", address)?;
         }
         if seeds.rpc_port == 0 {
             return self.fail("rpc_port", "rpc_port is 0", "use the RPC port of control");
@@ -258,24 +258,28 @@
         Ok(())
     }
 
-    /// Keys and tokens are optional on loopback only.
+    /// Checks that keys and tokens are set unless all addresses are loopback addresses.
     fn check_keys(&self, settings: &Settings) -> Result<()> {
-        let open = |(key, value): &(&str, &String)| {
+        let is_exposed = |(key, value): &(&str, &String)| {
             *key != "metrics_address"
                 && value.parse::<SocketAddr>().is_ok_and(|a| !a.ip().is_loopback())
         };
         if settings.closed_network {
             return Ok(());
         }
-        let Some((key, value)) = listening(settings).into_iter().find(open) else {
+        let Some((key, value)) = listening_addresses(settings).into_iter().find(is_exposed) else {
             return Ok(());
         };
         if settings.key_file.is_none() {
-            let what = format!("{key} is {value}, off loopback, without key_file");
+            let what = format!(
+                "{key} is {value}, which is not a loopback address, and key_file is not set"
+            );
             return self.fail(key, &what, "set key_file to a file with the shared key");
         }
         if settings.control.as_ref().is_some_and(|c| c.operators.is_empty()) {
-            let what = format!("{key} is {value}, off loopback, without operators");
+            let what = format!(
+                "{key} is {value}, which is not a loopback address, and control has no operators"
+            );
             return self.fail(key, &what, "list operators with their token files");
         }
         Ok(())
@@ -297,7 +301,7 @@
     }
 }
 
-fn listening(settings: &Settings) -> Vec<(&'static str, &String)> {
+fn listening_addresses(settings: &Settings) -> Vec<(&'static str, &String)> {
     let mut all = Vec::new();
     if let Some(address) = &settings.metrics_address {
         all.push(("metrics_address", address));
--- a/crates/cherrystream-core/src/shared.rs
+++ b/crates/cherrystream-core/src/shared.rs
@@ -1,11 +1,12 @@
-//! The state that every daemon holds: accepted configuration and registered hosts.
+//! State shared with every daemon: the accepted configuration, registered hosts and instances, and
+//! the route table.
 
 use crate::instances;
 use crate::rollout;
 use cherrystream_schema::messages;
 use messages::{Change, Config, HostRecord, Instance, Intent, RouteTable, Shared};
 
-/// Returns the state before any change.
+/// Returns the initial state.
 pub fn empty() -> Shared {
     Shared {
         config: Config::default(),
@@ -16,10 +17,10 @@
     }
 }
 
-/// Applies an accepted change. Changes that name what is gone change nothing.
+/// Applies an accepted change. A change to something that no longer exists has no effect.
 pub fn apply(shared: &mut Shared, change: &Change) {
     match change {
-        Change::Operator { intent } => apply_operators(shared, intent),
+        Change::Operator { intent } => apply_operator_intent(shared, intent),
         Change::StepRollout { .. } => rollout::step(shared, change),
         Change::PutHost { record } => put_host(shared, record),
         Change::RemoveHost { host } => remove_host(shared, host),
@@ -30,23 +31,24 @@
     }
 }
 
-fn apply_operators(shared: &mut Shared, intent: &Intent) {
+fn apply_operator_intent(shared: &mut Shared, intent: &Intent) {
     match intent {
         Intent::StartRollout { service, version, within_ms, at_ms } => {
             let (within_ms, at_ms) = (*within_ms, *at_ms);
             rollout::start(shared, &rollout::Order { service, version, within_ms, at_ms });
         }
         Intent::StopRollout { service } => rollout::stop(shared, service),
-        _ => apply_intent(&mut shared.config, intent),
+        _ => apply_config_intent(&mut shared.config, intent),
     }
 }
 
-/// A host whose address another one has taken is gone.
+/// Registers a host, and removes other hosts that registered the same peer address.
 fn put_host(shared: &mut Shared, record: &HostRecord) {
-    let replaced = |h: &HostRecord| h.host != record.host && h.peer_address == record.peer_address;
-    let gone: Vec<String> =
-        shared.hosts.values().filter(|h| replaced(h)).map(|h| h.host.clone()).collect();
-    for host in gone {
+    let is_replaced =
+        |h: &HostRecord| h.host != record.host && h.peer_address == record.peer_address;
+    let stale: Vec<String> =
+        shared.hosts.values().filter(|h| is_replaced(h)).map(|h| h.host.clone()).collect();
+    for host in stale {
         remove_host(shared, &host);
     }
     shared.hosts.insert(record.host.clone(), record.clone());
@@ -57,20 +59,20 @@
     shared.instances.remove(host);
 }
 
-fn put_instance(shared: &mut Shared, host: &str, word: &Instance) {
-    let known = shared.instances.get(host);
-    if let Some(record) = instances::register(known, word) {
-        let is_new = known.is_none_or(|known| {
-            known.instance.id != word.id || known.instance.born_ms != word.born_ms
+fn put_instance(shared: &mut Shared, host: &str, instance: &Instance) {
+    let existing = shared.instances.get(host);
+    if let Some(record) = instances::register(existing, instance) {
+        let is_new = existing.is_none_or(|existing| {
+            existing.instance.id != instance.id || existing.instance.born_ms != instance.born_ms
         });
         if is_new {
-            rollout::on_new_run(shared, word);
+            rollout::on_new_run(shared, instance);
         }
         shared.instances.insert(host.into(), record);
     }
 }
 
-/// Applies a change of the route table; any other one changes nothing.
+/// Applies a change of the route table; ignores other changes.
 pub fn patch_routes(routes: &mut Option<RouteTable>, change: &Change) {
     let Change::PatchRoutes {
         number,
@@ -107,7 +109,7 @@
     table.workspaces.extend(workspaces.iter().map(|(name, w)| (name.clone(), w.clone())));
 }
 
-fn apply_intent(config: &mut Config, intent: &Intent) {
+fn apply_config_intent(config: &mut Config, intent: &Intent) {
     match intent {
         Intent::PutService { service, measuring_per_second } => {
             put_service(config, service, *measuring_per_second);
@@ -169,7 +171,7 @@
             }
         }
         Intent::NeedKeys { needed } => config.needs_key = *needed,
-        // These need more than the configuration: see `apply_operators`.
+        // Handled by `apply_operator_intent`: they need more than the configuration.
         Intent::StartRollout { .. } | Intent::StopRollout { .. } => {}
     }
 }
@@ -209,14 +211,15 @@
     })
 }
 
-/// Returns whether a host gets no new work, by an operator's, the platform's or its own word.
+/// Returns whether a host gets no new work: it was taken out by operators or the platform, its
+/// failure domain is evacuated, or its daemon is shutting down.
 pub fn is_out(shared: &Shared, host: &str) -> bool {
     shared.config.hosts_out.iter().chain(&shared.leaving).any(|h| h == host)
         || shared.hosts.get(host).is_some_and(|record| record.leaving)
         || is_evacuated(shared, host)
 }
 
-/// Returns whether operators have evacuated the failure domain of a host.
+/// Returns whether the failure domain of a host is evacuated.
 pub fn is_evacuated(shared: &Shared, host: &str) -> bool {
     let domain = shared.hosts.get(host).map(|record| &record.failure_domain);
     domain.is_some_and(|domain| shared.config.failure_domains_out.contains(domain))
--- a/crates/cherrystream-core/src/state/changes.rs
+++ b/crates/cherrystream-core/src/state/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the shared state, kept so that daemons fetch only what they lack.
+//! Recent changes of the shared state, from which daemons are updated incrementally.
 
 use super::ControlState;
 use crate::distribution;
@@ -7,34 +7,35 @@
 use crate::units::{Dotted, Revision};
 use cherrystream_schema::messages::{Change, NumberedChange, Update};
 
-/// Changes kept so that daemons a little behind fetch only what they lack.
-const CHANGES_KEPT: usize = 4_096;
-/// Items that the changes kept may hold together, where that is more than the whole state holds: some 300 KB.
-const WEIGHT_KEPT: usize = 1_024;
+/// Maximum number of retained changes.
+const MAX_CHANGES: usize = 4_096;
+/// Total weight of changes that is retained even if the whole state weighs less, in items.
+const MIN_RETAINED_WEIGHT: usize = 1_024;
 
-/// What lies between a revision that a daemon holds and the newest one.
+/// Kind of update that brings a daemon from its revision to the newest one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing.
+    /// No update.
     Nothing,
-    /// Changes that hold so many items.
+    /// The changes since that revision.
     Changes {
-        /// Their items.
+        /// Number of items in the changes.
         weight: usize,
     },
-    /// The whole state, which holds so many items.
+    /// The whole state.
     Whole {
-        /// Its items.
+        /// Number of items in the state.
         weight: usize,
     },
 }
 
 impl ControlState {
+    /// Applies a change to the shared state and retains it.
     pub(super) fn share(&mut self, change: &Change, at: Revision) {
         if let Change::Operator { .. } = change {
             let before = self.shared.config.clone();
             shared::apply(&mut self.shared, change);
-            // An order that comes again changes nothing, and leaves plans as they are.
+            // A repeated command has no effect and must not invalidate plans.
             if self.shared.config == before {
                 return;
             }
@@ -47,25 +48,26 @@
         self.drop_old_changes();
     }
 
-    /// Changes that hold more together than the whole state are never sent.
+    /// Drops the oldest changes beyond the limits. Changes that weigh more than the whole state are
+    /// never sent.
     fn drop_old_changes(&mut self) {
-        let weight_at_most = distribution::of_state(&self.shared).max(WEIGHT_KEPT);
+        let max_weight = distribution::of_state(&self.shared).max(MIN_RETAINED_WEIGHT);
         let mut weight = 0;
-        let mut kept = 0;
+        let mut retained = 0;
         for numbered in self.changes.iter().rev() {
             weight += distribution::of_changes([&numbered.change].into_iter());
-            if kept == CHANGES_KEPT || weight > weight_at_most {
+            if retained == MAX_CHANGES || weight > max_weight {
                 break;
             }
-            kept += 1;
+            retained += 1;
         }
-        let excess = self.changes.len() - kept;
+        let excess = self.changes.len() - retained;
         if let Some(dropped) = self.changes.drain(..excess).next_back() {
             self.changes_after = dropped.revision;
         }
     }
 
-    /// Describes the operators' changes after a revision.
+    /// Describes the changes by operators after a revision.
     pub(super) fn changes_since(&self, base: Revision) -> String {
         let describe = |c: &NumberedChange| match &c.change {
             Change::Operator { intent } if c.revision > base => {
@@ -77,11 +79,11 @@
         if changes.is_empty() { "too long ago to list".into() } else { changes.join(", ") }
     }
 
-    /// Returns what lies between a revision that a daemon holds and the newest one.
+    /// Returns which update a daemon at revision `held` needs.
     pub fn step_since(&self, held: Revision) -> Step {
-        // A replica that lags may know less than the daemon: it then has nothing to give. Nor has one that passed
-        // over tables of which the last is not applied yet: its revision tells of more than its state.
-        if held >= self.revision || self.passed_over {
+        // A lagging replica may be behind the daemon. A replica that skipped route tables and has
+        // not applied the last one yet has a revision ahead of its state.
+        if held >= self.revision || self.skipped_routes {
             return Step::Nothing;
         }
         let whole = Step::Whole { weight: distribution::of_state(&self.shared) };
@@ -96,8 +98,8 @@
         }
     }
 
-    /// Returns what a daemon lacks that holds `held`: the changes since, or the whole state where that is
-    /// shorter or they are no longer kept.
+    /// Returns the update for a daemon at revision `held`: the changes since, or the whole state if
+    /// that is smaller or the changes are no longer retained.
     pub fn update_since(&self, held: Revision) -> Update {
         let revision = self.revision;
         match self.step_since(held) {
--- a/crates/cherrystream-core/src/state/mod.rs
+++ b/crates/cherrystream-core/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The replicated state of control: what applying the log's committed entries leads to.
+//! Replicated state machine of control, to which the committed log entries are applied.
 
 mod changes;
 mod plans;
@@ -16,36 +16,37 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What applying an entry led to, for whoever proposed it.
+/// Result of applying an entry, for its proposer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Applied {
-    /// Nothing that anybody waits for.
+    /// The entry has no result.
     Nothing,
-    /// A plan was recorded, or was on record under the same idempotency key.
+    /// The recorded plan, or the earlier one with the same idempotency key.
     Planned(Box<Result<Plan>>),
-    /// A plan was confirmed, or was not.
+    /// The revision at which the plan was accepted, or why it was not.
     Confirmed(Result<Revision>),
-    /// A claim was decided.
+    /// The reply to a claim.
     Claimed(ClaimReply),
-    /// The route table with this number holds.
+    /// The number of the current route table.
     RoutesHeld(u64),
-    /// A patch builds on another route table than the one with this number, which holds; it changed nothing.
+    /// The patch was discarded: it is based on another route table than the current one, which has
+    /// this number.
     RoutesMoved(u64),
 }
 
-/// What a command brings in packed form, unpacked.
+/// Unpacked payload of a command.
 #[derive(Clone, Debug)]
 pub enum Unpacked {
-    /// Nothing, or nothing that can be read.
+    /// No payload, or a malformed one.
     Nothing,
     /// A whole route table.
     Order(Box<RouteOrder>),
-    /// What leads to a route table from the one before.
+    /// A patch to the previous route table.
     Patch(Box<RoutePatch>),
 }
 
 impl Unpacked {
-    /// Unpacks what a command brings.
+    /// Unpacks the payload of a command.
     pub fn of(command: &Command) -> Unpacked {
         let unpacked = match command {
             Command::ReplaceRoutes { packed, .. } => {
@@ -59,13 +60,13 @@
         unpacked.unwrap_or(Unpacked::Nothing)
     }
 
-    /// Returns whether a command brings anything in packed form.
+    /// Returns whether a command has a packed payload.
     pub fn is_needed(command: &Command) -> bool {
         matches!(command, Command::ReplaceRoutes { .. } | Command::PatchRoutes { .. })
     }
 }
 
-/// The state.
+/// State of a control replica. Its serialized form is stored in snapshots.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ControlState {
     shared: Shared,
@@ -74,19 +75,19 @@
     /// Revision of the last change by an operator.
     config_revision: Revision,
     changes: VecDeque<NumberedChange>,
-    /// Changes up to and including this revision are no longer kept one by one.
+    /// Changes up to and including this revision are no longer retained.
     changes_after: Revision,
     plans: BTreeMap<String, Plan>,
     plan_order: VecDeque<String>,
-    /// Plans by operator and idempotency key.
+    /// Plan identifiers by operator and idempotency key.
     requests: BTreeMap<String, String>,
     ledger: Ledger,
-    /// The route table as the operator wrote it.
+    /// Source text of the route table.
     #[serde(default)]
     route_source: Option<String>,
-    /// Whether route tables were passed over since the last one that was applied.
+    /// Whether route tables were skipped since the last one that was applied.
     #[serde(skip)]
-    passed_over: bool,
+    skipped_routes: bool,
 }
 
 impl Default for ControlState {
@@ -102,7 +103,7 @@
             requests: BTreeMap::new(),
             ledger: Ledger::default(),
             route_source: None,
-            passed_over: false,
+            skipped_routes: false,
         }
     }
 }
@@ -113,7 +114,7 @@
         self.apply_unpacked(entry, Unpacked::of(&entry.command))
     }
 
-    /// Applies a committed entry whose route table was unpacked before.
+    /// Applies a committed entry whose payload is already unpacked.
     pub fn apply_unpacked(&mut self, entry: &Entry, unpacked: Unpacked) -> Applied {
         let at = Revision { term: entry.term, index: entry.index };
         match &entry.command {
@@ -134,12 +135,12 @@
             }
             Command::Release { request } => self.ledger.release(request),
             Command::ReplaceRoutes { .. } => {
-                // Only what `pack` has written is ever proposed; anything else changes nothing.
-                let held = match unpacked {
+                // A proposed payload is always well-formed; a malformed one would be ignored.
+                let number = match unpacked {
                     Unpacked::Order(order) => self.replace_routes(&order, at),
                     _ => self.route_number(),
                 };
-                return Applied::RoutesHeld(held);
+                return Applied::RoutesHeld(number);
             }
             Command::PatchRoutes { base, number, .. } => {
                 return self.patch_routes(*base, *number, unpacked, at);
@@ -148,28 +149,29 @@
         Applied::Nothing
     }
 
-    /// Passes over a route table that an entry behind it with a higher number replaces. What daemons hold
-    /// that know of it is not known here, so from then on they get the whole state.
+    /// Skips a route table that a later entry with a higher number replaces. The retained changes
+    /// lack it, so they no longer lead from every daemon's revision to the newest one: once the
+    /// later table is applied, daemons get the whole state.
     pub fn pass_over(&mut self, number: u64) -> Applied {
-        // One that is not newer than what holds would have changed nothing.
-        self.passed_over |= number > self.route_number();
+        // A table that is not newer than the current one has no effect anyway.
+        self.skipped_routes |= number > self.route_number();
         Applied::RoutesHeld(number.max(self.route_number()))
     }
 
-    /// Returns whether a table was passed over and the one that holds in its place is not applied yet.
+    /// Returns whether a route table was skipped and its replacement is not applied yet.
     pub fn lags(&self) -> bool {
-        self.passed_over
+        self.skipped_routes
     }
 
-    /// The table with the highest number holds; another one changes nothing.
+    /// Replaces the route table unless the current one has the same or a higher number.
     fn replace_routes(&mut self, order: &RouteOrder, at: Revision) -> u64 {
-        let held = self.route_number();
-        if order.table.number <= held {
-            return held;
+        let current = self.route_number();
+        if order.table.number <= current {
+            return current;
         }
         let change = routes::difference(self.shared.routes.as_ref(), &order.table);
         self.share(&change, at);
-        if std::mem::take(&mut self.passed_over) {
+        if std::mem::take(&mut self.skipped_routes) {
             self.changes.clear();
             self.changes_after = at;
         }
@@ -177,8 +179,8 @@
         order.table.number
     }
 
-    /// A patch counts only for the table that it builds on. Whether it does is the same on every replica, for the
-    /// table that holds at an entry is.
+    /// Applies a patch if it is based on the current route table. The outcome is the same on every
+    /// replica, because the current table at a log entry is.
     fn patch_routes(
         &mut self,
         base: u64,
@@ -186,36 +188,36 @@
         unpacked: Unpacked,
         at: Revision,
     ) -> Applied {
-        let held = self.route_number();
-        if number <= held {
-            return Applied::RoutesHeld(held);
+        let current = self.route_number();
+        if number <= current {
+            return Applied::RoutesHeld(current);
         }
-        if base != held {
-            return Applied::RoutesMoved(held);
+        if base != current {
+            return Applied::RoutesMoved(current);
         }
         let Unpacked::Patch(patch) = unpacked else {
-            return Applied::RoutesMoved(held);
+            return Applied::RoutesMoved(current);
         };
         let old = self.route_source.as_deref().unwrap_or_default();
         let Some(source) = text_patch::apply(old, &patch.source) else {
-            return Applied::RoutesMoved(held);
+            return Applied::RoutesMoved(current);
         };
         self.share(&patch.change, at);
         self.route_source = Some(source);
         Applied::RoutesHeld(number)
     }
 
-    /// Returns the number of the route table that holds; 0 when there is none.
+    /// Returns the number of the current route table; 0 if there is none.
     pub fn route_number(&self) -> u64 {
         self.shared.routes.as_ref().map_or(0, |table| table.number)
     }
 
-    /// Returns the route table as the operator wrote it.
+    /// Returns the source text of the route table, as the operator wrote it.
     pub fn route_source(&self) -> Option<&str> {
         self.route_source.as_deref()
     }
 
-    /// Returns the state that daemons hold.
+    /// Returns the state shared with daemons.
     pub fn shared(&self) -> &Shared {
         &self.shared
     }
--- a/crates/cherrystream-core/src/state/plans.rs
+++ b/crates/cherrystream-core/src/state/plans.rs
@@ -1,4 +1,4 @@
-//! Plans of operators: recorded once for each idempotency key, and confirmed once.
+//! Plans of operators: recorded once per idempotency key, and confirmed at most once.
 
 use super::ControlState;
 use crate::errors::{Error, Result};
@@ -6,13 +6,19 @@
 use crate::units::Revision;
 use cherrystream_schema::messages::{Change, Plan};
 
-/// Plans kept, confirmed ones included, so that a resent confirmation gets the same reply.
-const PLANS_KEPT: usize = 4_096;
+/// Maximum number of retained plans, including confirmed ones: a retried confirmation gets the same
+/// reply.
+const MAX_PLANS: usize = 4_096;
 
 impl ControlState {
+    /// Records a plan.
+    ///
+    /// # Errors
+    ///
+    /// Fails if its idempotency key was used for another intent.
     pub(super) fn put_plan(&mut self, plan: &Plan) -> Result<Plan> {
         if let Some(key) = request_key(plan) {
-            // A resent intent gets the plan of the first one.
+            // A retried request gets the plan of the first one.
             if let Some(first) = self.requests.get(&key).and_then(|id| self.plans.get(id)) {
                 return if first.intent == plan.intent {
                     Ok(first.clone())
@@ -24,12 +30,12 @@
         }
         self.plans.insert(plan.id.clone(), plan.clone());
         self.plan_order.push_back(plan.id.clone());
-        self.forget_old_plans();
+        self.drop_old_plans();
         Ok(plan.clone())
     }
 
-    fn forget_old_plans(&mut self) {
-        while self.plan_order.len() > PLANS_KEPT {
+    fn drop_old_plans(&mut self) {
+        while self.plan_order.len() > MAX_PLANS {
             let Some(id) = self.plan_order.pop_front() else { return };
             if let Some(key) = self.plans.remove(&id).as_ref().and_then(request_key) {
                 self.requests.remove(&key);
@@ -37,6 +43,11 @@
         }
     }
 
+    /// Accepts a plan and applies its intent.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the plan is missing or expired, or the configuration has changed since.
     pub(super) fn confirm(&mut self, id: &str, at_ms: u64, at: Revision) -> Result<Revision> {
         let Some(plan) = self.plans.get(id) else {
             return Err(no_plan(id));
@@ -63,22 +74,22 @@
     ///
     /// # Errors
     ///
-    /// Fails when no plan has the identifier.
+    /// Fails if no plan has the identifier.
     pub fn plan(&self, id: &str) -> Result<&Plan> {
         self.plans.get(id).ok_or_else(|| no_plan(id))
     }
 
-    /// Returns the plan that an operator's idempotency key led to.
+    /// Returns the plan that was recorded for an operator's idempotency key.
     pub fn plan_of(&self, operator: &str, key: &str) -> Option<&Plan> {
-        self.requests.get(&request_name(operator, key)).and_then(|id| self.plans.get(id))
+        self.requests.get(&scoped_key(operator, key)).and_then(|id| self.plans.get(id))
     }
 }
 
 fn request_key(plan: &Plan) -> Option<String> {
-    plan.request_key.as_ref().map(|key| request_name(&plan.operator, key))
+    plan.request_key.as_ref().map(|key| scoped_key(&plan.operator, key))
 }
 
-fn request_name(operator: &str, key: &str) -> String {
+fn scoped_key(operator: &str, key: &str) -> String {
     format!("{operator}/{key}")
 }
 
--- a/crates/cherrystream-core/src/workspace_plan.rs
+++ b/crates/cherrystream-core/src/workspace_plan.rs
@@ -1,21 +1,21 @@
-//! What an intent about workspaces would change, and what the operator should know first.
+//! Checks, steps and warnings of intents that change workspaces.
 
 use crate::errors::{self, Result};
 use crate::workspaces;
 use cherrystream_schema::messages::{Intent, Shared, Workspace};
 
-/// Highest rate or burst in thousandths of requests: beyond any fleet's, and far from the end of the numbers that hold it.
-const RATE_AT_MOST: u64 = 1_000_000_000_000;
-/// Keys of one workspace: enough for each caller of a large one to have its own and a next one.
-const KEYS_AT_MOST: usize = 1_000;
-/// What stands in place of a value that may be a key.
+/// Highest rate or burst, in thousandths of a request; well within the exact integers of `f64`.
+const MAX_RATE_MILLI: u64 = 1_000_000_000_000;
+/// Maximum number of keys per workspace.
+const MAX_KEYS: usize = 1_000;
+/// Replaces a value that may be a key in error messages.
 const NOT_SHOWN: &str = "(not shown)";
 
-/// Checks an intent about workspaces.
+/// Checks an intent that changes workspaces.
 ///
 /// # Errors
 ///
-/// Fails when it names something missing or holds a bad value; never tells a key.
+/// Fails if the intent names something missing or has an invalid value. The error contains no key.
 pub(crate) fn check(shared: &Shared, intent: &Intent) -> Result<()> {
     let config = &shared.config;
     match intent {
@@ -29,8 +29,8 @@
         Intent::AddKey { workspace, key_digest } => {
             check_digest(key_digest)?;
             check_not_in_table(shared, workspace)?;
-            check_room(workspace, find(shared, workspace)?)?;
-            check_free(shared, workspace, key_digest)
+            check_key_count(workspace, find(shared, workspace)?)?;
+            check_unused(shared, workspace, key_digest)
         }
         Intent::RevokeKey { workspace, key_digest } => {
             check_digest(key_digest)?;
@@ -60,7 +60,7 @@
     }
 }
 
-/// A workspace of the route table changes with that table only.
+/// Rejects a workspace of the route table, which changes only with that table.
 fn check_not_in_table(shared: &Shared, name: &str) -> Result<()> {
     match shared.routes.as_ref().is_some_and(|table| table.workspaces.contains_key(name)) {
         true => errors::bad_value(
@@ -73,10 +73,10 @@
 }
 
 fn check_rate(field: &'static str, milli: u64) -> Result<()> {
-    if milli <= RATE_AT_MOST {
+    if milli <= MAX_RATE_MILLI {
         return Ok(());
     }
-    errors::bad_value(field, milli, format!("use 0 to {RATE_AT_MOST}"))
+    errors::bad_value(field, milli, format!("use 0 to {MAX_RATE_MILLI}"))
 }
 
 fn check_burst(rate_milli_per_s: u64, burst_milli: u64) -> Result<()> {
@@ -86,39 +86,42 @@
     errors::bad_value("burst_milli", burst_milli, "set a rate too: without one there is no limit")
 }
 
-/// A key that was sent in place of its digest would stand in the log.
+/// Rejects a key sent in place of its digest: the replicated log would store it.
 fn check_digest(text: &str) -> Result<()> {
     if workspaces::is_digest(text) {
         return Ok(());
     }
-    let remedy = "send the SHA-256 of the key as base64 without padding, never the key itself; the command line makes it";
+    let remedy = "send the SHA-256 of the key as base64 without padding, never the key itself; \
+                  the command line computes it";
     errors::bad_value("key_digest", NOT_SHOWN, remedy)
 }
 
-fn check_room(name: &str, workspace: &Workspace) -> Result<()> {
-    if workspace.key_digests.len() < KEYS_AT_MOST {
+fn check_key_count(name: &str, workspace: &Workspace) -> Result<()> {
+    if workspace.key_digests.len() < MAX_KEYS {
         return Ok(());
     }
-    errors::bad_value("workspace", name, format!("it has {KEYS_AT_MOST} keys: revoke one first"))
+    errors::bad_value("workspace", name, format!("it has {MAX_KEYS} keys: revoke one first"))
 }
 
-/// A key belongs to one workspace.
-fn check_free(shared: &Shared, name: &str, digest: &String) -> Result<()> {
-    let of_config = shared.config.workspaces.iter();
-    let of_table = shared.routes.iter().flat_map(|table| &table.workspaces);
+/// Rejects a key that belongs to another workspace.
+fn check_unused(shared: &Shared, name: &str, digest: &String) -> Result<()> {
+    let in_config = shared.config.workspaces.iter();
+    let in_table = shared.routes.iter().flat_map(|table| &table.workspaces);
     let holds =
         |(other, w): &(&String, &Workspace)| *other != name && w.key_digests.contains(digest);
-    match of_config.chain(of_table).find(holds) {
+    match in_config.chain(in_table).find(holds) {
         Some((other, _)) => errors::bad_value(
             "key_digest",
             NOT_SHOWN,
-            format!("workspace '{other}' holds the key: revoke it there first, or make a new one"),
+            format!(
+                "workspace '{other}' holds the key: revoke it there first, or create another key"
+            ),
         ),
         None => Ok(()),
     }
 }
 
-/// Describes what an intent about workspaces does.
+/// Describes the effect of an intent that changes workspaces.
 pub(crate) fn step(shared: &Shared, intent: &Intent) -> String {
     match intent {
         Intent::PutWorkspace { workspace, priority, rate_milli_per_s, burst_milli } => {
@@ -129,18 +132,18 @@
         }
         Intent::AddKey { workspace, key_digest } => {
             format!(
-                "let requests with the key of digest {key_digest} in, for workspace '{workspace}'"
+                "accept requests with the key of digest {key_digest} for workspace '{workspace}'"
             )
         }
         Intent::RevokeKey { workspace, key_digest } => format!(
-            "refuse requests with the key of digest {key_digest}, which workspace '{workspace}' holds"
+            "refuse requests with the key of digest {key_digest} of workspace '{workspace}'"
         ),
         Intent::NeedKeys { needed: true } => "refuse requests without a key of a workspace".into(),
-        _ => "let requests in without a key of a workspace".into(),
+        _ => "accept requests without a key of a workspace".into(),
     }
 }
 
-/// Returns what the operator should know first.
+/// Returns warnings about side effects of an intent.
 pub(crate) fn warnings(before: &Shared, after: &Shared, intent: &Intent) -> Vec<String> {
     let mut warnings = Vec::new();
     match intent {
@@ -153,7 +156,7 @@
             let keys = before.config.workspaces.get(workspace).map_or(0, |w| w.key_digests.len());
             if keys > 0 {
                 warnings.push(format!(
-                    "takes its keys away ({keys}): requests that bear them are refused from then on"
+                    "deletes its keys ({keys}): requests that use them will be refused"
                 ));
             }
         }
@@ -164,16 +167,16 @@
             }
         }
         Intent::NeedKeys { needed: true } => {
-            warnings.push("callers that send no key yet are refused at once".into());
+            warnings.push("callers that send no key will be refused immediately".into());
         }
         Intent::NeedKeys { needed: false } => {
-            warnings.push("from then on everybody who reaches a daemon may send requests".into());
+            warnings.push("every caller that can reach a daemon may send requests".into());
         }
         _ => {}
     }
     let has_key = |shared: &Shared| workspaces::has_key(shared.routes.as_ref(), &shared.config);
     if after.config.needs_key && has_key(before) && !has_key(after) {
-        warnings.push("no workspace has a key then: every request is refused".into());
+        warnings.push("no workspace will have a key: every request will be refused".into());
     }
     warnings
 }
--- a/crates/cherrystream-core/src/workspaces.rs
+++ b/crates/cherrystream-core/src/workspaces.rs
@@ -1,8 +1,8 @@
-//! Workspaces: which one a request belongs to, by the API key that it bears.
+//! Maps API keys to workspaces.
 //!
-//! What daemons hold and look up are digests of keys. Only control keeps keys: in the text of a platform's route table,
-//! which is read back as it was written. A look-up compares digests, so its time tells nothing of how far a guess
-//! matched.
+//! Daemons store and look up digests of keys. Only control stores the keys themselves, in the
+//! source text of the route table, which operators can read back unchanged. Comparing digests keeps
+//! the time of a look-up independent of how much of a guessed key is right.
 
 use crate::routes::TableFault;
 use base64::Engine;
@@ -13,24 +13,25 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Characters of a digest that a log tells: no two of a million keys have the same in all likelihood.
+/// Characters of a digest that logs show; collisions among a million keys are unlikely.
 const MARK_CHARACTERS: usize = 12;
-/// Random bytes of a new key.
+/// Number of random bytes in a new key.
 pub const NEW_KEY_BYTES: usize = 32;
-/// Thousandths of a request.
+/// Thousandths per request.
 const MILLI: f64 = 1_000.0;
 
-/// An API key as a caller sent it. It is never written out.
+/// An API key as a caller sent it. `Debug` does not print it.
 #[derive(Clone, PartialEq, Eq)]
 pub struct ApiKey(String);
 
 impl ApiKey {
-    /// Takes a key.
+    /// Wraps a key.
     pub fn new(key: &str) -> ApiKey {
         ApiKey(key.into())
     }
 
-    /// Returns the beginning of its digest: enough to tell keys apart in a log, and nothing of the key itself.
+    /// Returns the beginning of its digest, which distinguishes keys in logs without revealing
+    /// them.
     pub fn mark(&self) -> String {
         let mut mark = digest(&self.0);
         mark.truncate(MARK_CHARACTERS);
@@ -44,62 +45,63 @@
     }
 }
 
-/// Returns the digest under which a key is held.
+/// Returns the digest under which a key is stored: its SHA-256 as base64 without padding.
 pub fn digest(key: &str) -> String {
     STANDARD_NO_PAD.encode(Sha256::digest(key))
 }
 
-/// Returns a new key made of random bytes: too many for anybody to guess, so a plain digest hides it.
+/// Returns a new key made of random bytes. It has enough entropy to be stored as an unsalted
+/// digest.
 pub fn new_key(random: [u8; NEW_KEY_BYTES]) -> String {
     URL_SAFE_NO_PAD.encode(random)
 }
 
-/// Bytes of a digest.
+/// Length of a decoded digest.
 const DIGEST_BYTES: usize = 32;
 
-/// Returns whether a text can be the digest of a key.
+/// Returns whether a text has the format of a digest.
 pub fn is_digest(text: &str) -> bool {
     STANDARD_NO_PAD.decode(text).is_ok_and(|bytes| bytes.len() == DIGEST_BYTES)
 }
 
-/// Requests that a workspace may send over all daemons together.
+/// Limit on the requests of a workspace over all daemons together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Requests a second.
+    /// Sustained rate, in requests per second.
     pub per_second: f64,
-    /// Requests on top at once.
+    /// Requests allowed beyond that rate at once.
     pub burst: f64,
 }
 
-/// A workspace as requests need it.
+/// Properties of a workspace that apply to its requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedWorkspace {
     /// Its name.
     pub name: Arc<str>,
-    /// Rank of its requests in place of the route's; 0 is the highest.
+    /// Priority of its requests in place of the route's; 0 is the highest.
     pub priority: Option<u32>,
-    /// Its quota, where it has one.
+    /// Its quota; `None` for no limit.
     pub quota: Option<Quota>,
-    /// Regions in which its requests may be served; all of them where none is stated.
+    /// Regions in which its requests may be served; all regions if empty.
     pub allowed_regions: Vec<String>,
 }
 
-/// Workspaces made ready for look-ups.
+/// Index of workspaces by key digest.
 #[derive(Debug, Default)]
 pub struct WorkspaceIndex {
     needs_key: bool,
     by_digest: HashMap<String, Arc<NamedWorkspace>>,
-    /// Those of the configuration, and whether it needs a key: to see whether another one differs.
-    of_config: (bool, BTreeMap<String, Workspace>),
+    /// `needs_key` and workspaces of the configuration that the index was built from.
+    config_source: (bool, BTreeMap<String, Workspace>),
 }
 
 impl WorkspaceIndex {
-    /// Makes the workspaces of a route table and of the configuration ready. A name or a key that both hold belongs to
-    /// the table: it is replaced without a look at the configuration.
+    /// Builds the index of the workspaces of a route table and of the configuration. A name or key
+    /// in both belongs to the route table, which is replaced independently of the configuration.
     pub fn new(table: Option<&RouteTable>, config: &Config) -> WorkspaceIndex {
-        let of_config = (config.needs_key, config.workspaces.clone());
+        let config_source = (config.needs_key, config.workspaces.clone());
         let needs_key = config.needs_key || table.is_some_and(|table| table.needs_key);
-        let mut index = WorkspaceIndex { needs_key, by_digest: HashMap::new(), of_config };
+        let mut index = WorkspaceIndex { needs_key, by_digest: HashMap::new(), config_source };
         let in_table = |name: &String| table.is_some_and(|t| t.workspaces.contains_key(name));
         for (name, workspace) in config.workspaces.iter().filter(|(name, _)| !in_table(name)) {
             index.insert(name, workspace);
@@ -116,28 +118,28 @@
         self.by_digest.extend(digests.map(|digest| (digest, named.clone())));
     }
 
-    /// Returns whether a configuration holds the same workspaces as the one that this was made of.
+    /// Returns whether a configuration has the same workspaces as the one the index was built from.
     pub fn is_of(&self, config: &Config) -> bool {
-        self.of_config.0 == config.needs_key && self.of_config.1 == config.workspaces
+        self.config_source.0 == config.needs_key && self.config_source.1 == config.workspaces
     }
 
-    /// Returns whether a request must bear a key, but on keyless routes.
+    /// Returns whether requests need a key, except on keyless routes.
     pub fn needs_key(&self) -> bool {
         self.needs_key
     }
 
-    /// Returns the quotas of the workspaces that hold a key.
+    /// Returns the quotas of the workspaces that have a key; a workspace may appear repeatedly.
     pub fn quotas(&self) -> impl Iterator<Item = (Arc<str>, Quota)> {
         self.by_digest.values().filter_map(|named| Some((named.name.clone(), named.quota?)))
     }
 
-    /// Returns the workspace that holds a key.
+    /// Returns the workspace that a key belongs to.
     pub fn holder(&self, key: &ApiKey) -> Option<&Arc<NamedWorkspace>> {
         self.by_digest.get(&digest(&key.0))
     }
 }
 
-/// Describes priority and quota of a workspace.
+/// Describes the priority and the quota of a workspace to operators.
 pub fn terms(priority: Option<u32>, rate_milli_per_s: u64, burst_milli: u64) -> String {
     let priority = match priority {
         Some(priority) => format!("priority {priority}"),
@@ -166,30 +168,33 @@
     }
 }
 
-/// Returns whether a workspace of either source has a key.
+/// Returns whether any workspace of the route table or the configuration has a key.
 pub fn has_key(table: Option<&RouteTable>, config: &Config) -> bool {
     let of_table = table.into_iter().flat_map(|table| table.workspaces.values());
     config.workspaces.values().chain(of_table).any(|w| !w.key_digests.is_empty())
 }
 
-/// Names what keeps all callers out, or those of a workspace.
+/// Describes settings that lock out all callers, or that shadow a workspace.
 pub fn needs_attention(table: Option<&RouteTable>, config: &Config) -> Vec<String> {
     let needs_key = config.needs_key || table.is_some_and(|table| table.needs_key);
     let locked = needs_key && !has_key(table, config);
     let locked =
         locked.then(|| "requests need a key and no workspace has one: all are refused".into());
     let in_table = |name: &&String| table.is_some_and(|t| t.workspaces.contains_key(*name));
-    let passed_over = config.workspaces.keys().filter(in_table).map(|name| {
-        format!("workspace {name} stands in the route table too, which holds: delete the other one")
+    let shadowed = config.workspaces.keys().filter(in_table).map(|name| {
+        format!(
+            "workspace {name} is also in the route table, which takes precedence: \
+             delete it from the configuration"
+        )
     });
-    locked.into_iter().chain(passed_over).collect()
+    locked.into_iter().chain(shadowed).collect()
 }
 
-/// Checks all workspaces of a table.
+/// Validates the workspaces of a route table.
 ///
 /// # Errors
 ///
-/// Fails at the first fault, with the name of the workspace and the remedy; never with a key.
+/// Returns the first fault, with the name of the workspace and the remedy, but never a key.
 pub fn validate(workspaces: &BTreeMap<String, Workspace>) -> Result<(), TableFault> {
     let mut holders = HashMap::new();
     for (name, workspace) in workspaces {
@@ -198,9 +203,10 @@
             return Err(TableFault { what, remedy: "name each workspace".into() });
         }
         if !name.bytes().all(|byte| byte == b' ' || byte.is_ascii_graphic()) {
-            // It travels in a header, which would be left out, and the request would run without its workspace.
-            let what = format!("the name {name:?} of a workspace cannot stand in a header");
-            let remedy = "use letters, digits and signs of ASCII".into();
+            // The name is sent in a header. An invalid header would be omitted, and the request
+            // would run without its workspace.
+            let what = format!("the name {name:?} of a workspace cannot be sent in a header");
+            let remedy = "use printable ASCII characters only".into();
             return Err(TableFault { what, remedy });
         }
         for digest in &workspace.key_digests {
--- a/crates/cherrystream-core/tests/workspaces.rs
+++ b/crates/cherrystream-core/tests/workspaces.rs
@@ -86,7 +86,7 @@
 fn a_name_that_cannot_stand_in_a_header_is_refused() {
     for name in ["stu\ndio", "st\u{fc}dio", "a\u{0}"] {
         let fault = routes::validate(&table(1, &[(name, &["k1"])])).unwrap_err();
-        assert!(fault.what.contains("cannot stand in a header"), "{}", fault.what);
+        assert!(fault.what.contains("cannot be sent in a header"), "{}", fault.what);
     }
     assert!(routes::validate(&table(1, &[("Studio Brest", &["k1"])])).is_ok());
 }
@@ -250,7 +250,7 @@
     assert!(workspaces::needs_attention(None, &config).is_empty());
     let both = workspaces::needs_attention(Some(&table(1, &[("a", &["k2"])])), &config);
     assert_eq!(both.len(), 1);
-    assert!(both[0].contains("workspace a stands in the route table too"), "{both:?}");
+    assert!(both[0].contains("workspace a is also in the route table"), "{both:?}");
     // It can be deleted, and nothing else be done with it.
     let mut state = shared::empty();
     state.routes = Some(table(1, &[("a", &["k2"])]));
