--- a/crates/cherrystream-core/tests/evacuations.rs
+++ b/crates/cherrystream-core/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuations: an operators' order that the replicated state holds beside the hosts taken out.
+//! Evacuations: failure domains taken out by operators, stored in the replicated state.
 
 use arbtest::arbtest;
 use cherrystream_core::plan;
@@ -32,7 +32,7 @@
         self.share(Change::PutHost { record });
     }
 
-    fn order(&mut self, intent: Intent) {
+    fn apply(&mut self, intent: Intent) {
         self.share(Change::Operator { intent });
     }
 
@@ -49,42 +49,47 @@
     Intent::EndEvacuation { failure_domain: domain.into() }
 }
 
+/// Guards against plans that conflict with commands without effect.
 #[test]
-fn an_order_that_comes_again_changes_nothing() {
+fn a_repeated_command_has_no_effect() {
     let mut log = Log::default();
     log.register("a1", "a");
-    log.order(start("a"));
-    let (revision, plans_from) = (log.state.revision(), log.state.config_revision());
-    assert_eq!(revision, plans_from, "a plan made before conflicts");
-    log.order(start("a"));
-    log.order(end("b"));
-    assert_eq!((log.state.revision(), log.state.config_revision()), (revision, plans_from));
+    log.apply(start("a"));
+    let (revision, config_revision) = (log.state.revision(), log.state.config_revision());
+    assert_eq!(revision, config_revision, "an earlier plan conflicts");
+    log.apply(start("a"));
+    log.apply(end("b"));
+    assert_eq!((log.state.revision(), log.state.config_revision()), (revision, config_revision));
 }
 
+/// Guards against evacuating only the hosts that were registered at the time of the command.
 #[test]
 fn a_host_that_registers_during_an_evacuation_gets_no_work() {
     let mut log = Log::default();
-    log.order(start("a"));
+    log.apply(start("a"));
     log.register("a1", "a");
     assert!(log.is_out("a1"));
-    log.order(end("a"));
+    log.apply(end("a"));
     assert!(!log.is_out("a1"));
 }
 
 #[test]
-fn a_plan_tells_what_is_left_and_refuses_an_unknown_failure_domain() {
+fn a_plan_states_its_steps_and_rejects_an_unknown_failure_domain() {
     let mut log = Log::default();
     log.register("a1", "a");
     let outline = plan::outline(log.state.shared(), &start("a")).unwrap();
     assert_eq!(outline.steps[0], "send no new work to the 1 hosts of failure domain 'a'");
     assert!(plan::outline(log.state.shared(), &start("nowhere")).is_err());
-    assert!(plan::outline(log.state.shared(), &end("a")).is_err(), "it is not evacuated");
+    assert!(
+        plan::outline(log.state.shared(), &end("a")).is_err(),
+        "the failure domain is not evacuated"
+    );
 }
 
-/// Orders of several operators cross, hosts come and go, and replicas start from snapshots: what was ordered last for
-/// a failure domain holds for each of its hosts.
+/// Guards against losing evacuations while hosts register and leave and replicas restore snapshots:
+/// the last command for a failure domain applies to all of its hosts.
 #[test]
-fn the_last_order_for_a_failure_domain_holds_whatever_crosses_it() {
+fn the_last_command_for_a_failure_domain_applies_to_all_its_hosts() {
     arbtest(|u| {
         let domains = ["a", "b", "c"];
         let mut log = Log::default();
@@ -93,11 +98,11 @@
             let domain = *u.choose(&domains)?;
             match u.int_in_range(0..=4)? {
                 0 => {
-                    log.order(start(domain));
+                    log.apply(start(domain));
                     out.insert(domain);
                 }
                 1 => {
-                    log.order(end(domain));
+                    log.apply(end(domain));
                     out.remove(domain);
                 }
                 2 => log.register(&format!("{domain}{}", u.int_in_range(0..=2)?), domain),
@@ -111,8 +116,8 @@
                 }
             }
             for host in log.state.shared().hosts.values() {
-                let wanted = out.contains(host.failure_domain.as_str());
-                assert_eq!(log.is_out(&host.host), wanted, "{}", host.host);
+                let expected = out.contains(host.failure_domain.as_str());
+                assert_eq!(log.is_out(&host.host), expected, "{}", host.host);
             }
         }
         Ok(())
--- a/crates/cherrystream-core/tests/quota_settings.rs
+++ b/crates/cherrystream-core/tests/quota_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of quotas: what they are without a word, and which values are refused.
+//! Settings of quotas: default values, and rejection of invalid ones.
 
 use cherrystream_core::settings;
 
@@ -12,14 +12,14 @@
 ";
 
 #[test]
-fn the_room_beyond_a_quota_has_a_size_without_a_word() {
+fn the_tolerance_of_quotas_has_defaults() {
     let daemon = settings::read(SETTINGS).unwrap().daemon.unwrap();
-    let room = (daemon.quota_window_s, daemon.quota_over, daemon.quota_slack);
-    assert_eq!(room, (5.0, 0.1, 20.0));
+    let tolerance = (daemon.quota_window_s, daemon.quota_over, daemon.quota_slack);
+    assert_eq!(tolerance, (5.0, 0.1, 20.0));
 }
 
 #[test]
-fn values_that_cannot_be_meant_are_refused_with_line_and_remedy() {
+fn invalid_values_are_rejected_with_line_and_remedy() {
     let cases = [
         ("quota_window_s", "0", "use 0.1 to 3600 seconds"),
         ("quota_window_s", ".nan", "use 0.1 to 3600 seconds"),
--- a/crates/cherrystream-core/tests/quotas/world.rs
+++ b/crates/cherrystream-core/tests/quotas/world.rs
@@ -1,4 +1,4 @@
-//! Daemons that share quotas, over a network that delays, loses and cuts.
+//! Simulation of daemons that share quotas, on a network with delays, losses and partitions.
 
 use cherrystream_core::quota::{
     LeaseBatch, Member, Members, Policy, Reply, Tolerance, Try, Verdict,
@@ -9,59 +9,40 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two looks at all daemons, in microseconds.
+/// Simulated time per step, in microseconds.
 pub const STEP_US: u64 = 5_000;
-/// Longest wait for an answer to a batch, in microseconds.
-const ANSWER_US: u64 = 150_000;
-/// Time between two looks of a daemon at what waits, in microseconds.
-const TELL_US: u64 = 100_000;
+/// Time limit for the reply to a batch, in microseconds.
+const REPLY_TIMEOUT_US: u64 = 150_000;
+/// Interval at which a daemon decides again on waiting requests, in microseconds.
+const RETRY_INTERVAL_US: u64 = 100_000;
 pub const DOMAINS: usize = 3;
 
 pub type Make = fn(Tolerance, Members) -> Box<dyn Policy>;
 
-/// What became of a request.
+/// Refusal of a request; times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Refused {
+pub struct Refusal {
     pub at: u64,
-    pub back_at: u64,
+    pub retry_at: u64,
     pub out_of_reach: bool,
 }
 
 struct Daemon {
     policy: Box<dyn Policy>,
     frozen_until: u64,
-    /// Microseconds by which its clock is behind the time.
-    behind: u64,
-    paused_until: u64,
-    /// Requests that were not decided on; whether each has waited before.
+    /// Microseconds by which its clock is behind the simulated time.
+    clock_lag: u64,
+    clock_paused_until: u64,
+    /// Requests to decide on.
     undecided: VecDeque<Try>,
     waiting: usize,
-    cut_until: u64,
+    partitioned_until: u64,
 }
 
-enum Post {
-    Asked {
-        from: usize,
-        to: usize,
-        sent: Timestamp,
-        number: u64,
-        batch: LeaseBatch,
-    },
-    Answered {
-        from: usize,
-        to: usize,
-        sent: Timestamp,
-        number: u64,
-        batch: LeaseBatch,
-        reply: Reply,
-    },
-    TimedOut {
-        to: usize,
-        home: usize,
-        sent: Timestamp,
-        number: u64,
-        batch: LeaseBatch,
-    },
+enum Message {
+    Request { from: usize, to: usize, sent: Timestamp, number: u64, batch: LeaseBatch },
+    Reply { from: usize, to: usize, sent: Timestamp, number: u64, batch: LeaseBatch, reply: Reply },
+    TimedOut { to: usize, allocator: usize, sent: Timestamp, number: u64, batch: LeaseBatch },
 }
 
 pub struct World {
@@ -69,12 +50,14 @@
     pub quota: Quota,
     pub tolerance: Tolerance,
     pub ran: Vec<u64>,
-    pub refused: Vec<Refused>,
+    pub refused: Vec<Refusal>,
     pub batches: u64,
     pub delay_us: u64,
     daemons: Vec<Daemon>,
-    post: Vec<(u64, Post)>,
-    open: Vec<u64>,
+    /// Messages in flight with their time of arrival.
+    messages: Vec<(u64, Message)>,
+    /// Numbers of batches without a reply.
+    pending: Vec<u64>,
     next_number: u64,
     make: Make,
 }
@@ -102,8 +85,8 @@
             batches: 0,
             delay_us: 1_000,
             daemons: Vec::new(),
-            post: Vec::new(),
-            open: Vec::new(),
+            messages: Vec::new(),
+            pending: Vec::new(),
             next_number: 0,
             make,
         };
@@ -116,15 +99,15 @@
         let members = Members::new(member(n), (0..count).map(member));
         let mut policy = (self.make)(self.tolerance, members);
         policy.set_quotas([(workspace(), self.quota)].into());
-        let (undecided, behind) = (VecDeque::new(), self.now);
+        let (undecided, clock_lag) = (VecDeque::new(), self.now);
         Daemon {
             policy,
             frozen_until: 0,
-            behind,
-            paused_until: 0,
+            clock_lag,
+            clock_paused_until: 0,
             undecided,
             waiting: 0,
-            cut_until: 0,
+            partitioned_until: 0,
         }
     }
 
@@ -132,7 +115,7 @@
         self.daemons.len()
     }
 
-    /// Returns the requests that are not decided on.
+    /// Returns the number of requests without a decision.
     pub fn undecided(&self) -> usize {
         self.daemons.iter().map(|daemon| daemon.undecided.len() + daemon.waiting).sum()
     }
@@ -146,15 +129,15 @@
     }
 
     pub fn pause_clock(&mut self, n: usize, for_us: u64) {
-        self.daemons[n].paused_until = self.now + for_us;
+        self.daemons[n].clock_paused_until = self.now + for_us;
     }
 
-    /// Cuts a daemon off from all others.
-    pub fn cut(&mut self, n: usize, for_us: u64) {
-        self.daemons[n].cut_until = self.now + for_us;
+    /// Partitions a daemon from all others.
+    pub fn partition(&mut self, n: usize, for_us: u64) {
+        self.daemons[n].partitioned_until = self.now + for_us;
     }
 
-    /// Starts a daemon again, which has forgotten all.
+    /// Restarts a daemon without its state.
     pub fn restart(&mut self, n: usize) {
         self.daemons[n] = self.daemon(n, self.count());
     }
@@ -166,76 +149,80 @@
     pub fn step(&mut self) {
         self.now += STEP_US;
         for daemon in &mut self.daemons {
-            if daemon.paused_until > self.now {
-                daemon.behind += STEP_US;
+            if daemon.clock_paused_until > self.now {
+                daemon.clock_lag += STEP_US;
             }
         }
         let now = self.now;
-        let due = self.post.extract_if(.., |(at, _)| *at <= now).collect::<Vec<_>>();
-        for (_, post) in due {
-            self.deliver(post);
+        let due = self.messages.extract_if(.., |(at, _)| *at <= now).collect::<Vec<_>>();
+        for (_, message) in due {
+            self.deliver(message);
         }
         for n in 0..self.count() {
-            if now.is_multiple_of(TELL_US) && self.is_awake(n) {
-                self.try_again(n);
+            if now.is_multiple_of(RETRY_INTERVAL_US) && self.is_awake(n) {
+                self.retry_waiting(n);
             }
             self.decide(n);
         }
     }
 
     fn clock(&self, n: usize) -> Timestamp {
-        Timestamp(self.now - self.daemons[n].behind)
+        Timestamp(self.now - self.daemons[n].clock_lag)
     }
 
     fn is_awake(&self, n: usize) -> bool {
         self.daemons[n].frozen_until <= self.now
     }
 
-    fn reach(&self, a: usize, b: usize) -> bool {
-        self.daemons[a].cut_until <= self.now && self.daemons[b].cut_until <= self.now
+    fn is_connected(&self, a: usize, b: usize) -> bool {
+        self.daemons[a].partitioned_until <= self.now
+            && self.daemons[b].partitioned_until <= self.now
     }
 
-    fn deliver(&mut self, post: Post) {
-        let to = match &post {
-            Post::Asked { to, .. } | Post::Answered { to, .. } | Post::TimedOut { to, .. } => *to,
+    fn deliver(&mut self, message: Message) {
+        let to = match &message {
+            Message::Request { to, .. }
+            | Message::Reply { to, .. }
+            | Message::TimedOut { to, .. } => *to,
         };
         if !self.is_awake(to) {
             let awake = self.daemons[to].frozen_until;
-            return self.post.push((awake, post));
+            return self.messages.push((awake, message));
         }
         let now = self.clock(to);
-        match post {
-            Post::Asked { from, to, sent, number, batch } => {
+        match message {
+            Message::Request { from, to, sent, number, batch } => {
                 let reply = self.daemons[to].policy.answer(now, &batch);
-                if self.reach(from, to) {
-                    let post = Post::Answered { from: to, to: from, sent, number, batch, reply };
-                    self.post.push((self.now + self.delay_us, post));
+                if self.is_connected(from, to) {
+                    let message = Message::Reply { from: to, to: from, sent, number, batch, reply };
+                    self.messages.push((self.now + self.delay_us, message));
                 }
             }
-            Post::Answered { from, to, sent, number, batch, reply } => {
-                if self.close(number) {
+            Message::Reply { from, to, sent, number, batch, reply } => {
+                if self.complete(number) {
                     let policy = &mut self.daemons[to].policy;
                     policy.replied(now, sent, &name(from), &batch, Some(&reply));
-                    self.try_again(to);
+                    self.retry_waiting(to);
                 }
             }
-            Post::TimedOut { to, home, sent, number, batch } => {
-                if self.close(number) {
+            Message::TimedOut { to, allocator, sent, number, batch } => {
+                if self.complete(number) {
                     let policy = &mut self.daemons[to].policy;
-                    policy.replied(now, sent, &name(home), &batch, None);
-                    self.try_again(to);
+                    policy.replied(now, sent, &name(allocator), &batch, None);
+                    self.retry_waiting(to);
                 }
             }
         }
     }
 
-    fn close(&mut self, number: u64) -> bool {
-        let was = self.open.len();
-        self.open.retain(|open| *open != number);
-        self.open.len() < was
+    /// Returns whether a batch was still without a reply.
+    fn complete(&mut self, number: u64) -> bool {
+        let before = self.pending.len();
+        self.pending.retain(|pending| *pending != number);
+        self.pending.len() < before
     }
 
-    fn try_again(&mut self, n: usize) {
+    fn retry_waiting(&mut self, n: usize) {
         let daemon = &mut self.daemons[n];
         for _ in 0..std::mem::take(&mut daemon.waiting) {
             daemon.undecided.push_front(Try::Again);
@@ -252,30 +239,31 @@
             match daemon.policy.admit(now, &workspace(), self.quota, turn) {
                 Verdict::Run(_) => self.ran.push(self.now),
                 Verdict::Wait => daemon.waiting += 1,
-                Verdict::Over(over) => self.refused.push(Refused {
+                Verdict::Over(over) => self.refused.push(Refusal {
                     at: self.now,
-                    back_at: self.now + over.retry_after.as_micros() as u64,
+                    retry_at: self.now + over.retry_after.as_micros() as u64,
                     out_of_reach: over.out_of_reach,
                 }),
             }
         }
-        for (home, batch) in daemon.policy.outgoing(now) {
+        for (allocator, batch) in daemon.policy.outgoing(now) {
             self.batches += 1;
-            let to = home.strip_prefix("host-").unwrap().parse().unwrap();
+            let to = allocator.strip_prefix("host-").unwrap().parse().unwrap();
             self.next_number += 1;
             let number = self.next_number;
-            self.open.push(number);
+            self.pending.push(number);
             let copy = batch.clone();
-            let timed_out = Post::TimedOut { to: n, home: to, sent: now, number, batch: copy };
-            self.post.push((self.now + ANSWER_US, timed_out));
-            if self.reach(n, to) {
-                let asked = Post::Asked { from: n, to, sent: now, number, batch };
-                self.post.push((self.now + self.delay_us, asked));
+            let timed_out =
+                Message::TimedOut { to: n, allocator: to, sent: now, number, batch: copy };
+            self.messages.push((self.now + REPLY_TIMEOUT_US, timed_out));
+            if self.is_connected(n, to) {
+                let request = Message::Request { from: n, to, sent: now, number, batch };
+                self.messages.push((self.now + self.delay_us, request));
             }
         }
     }
 
-    /// Returns the most requests that ran within a window.
+    /// Returns the highest number of requests that ran within a window.
     pub fn most_in_a_window(&self) -> usize {
         let window = self.tolerance.window.as_micros() as u64;
         let within = |n: usize| {
@@ -285,6 +273,7 @@
         (0..self.ran.len()).map(within).max().unwrap_or(0)
     }
 
+    /// Returns the number of requests allowed within a window.
     pub fn allowed(&self) -> f64 {
         let window = self.tolerance.window.as_secs_f64();
         self.quota.per_second * window + self.quota.burst + self.tolerance.room(self.quota)
--- a/crates/cherrystream-core/tests/sessions.rs
+++ b/crates/cherrystream-core/tests/sessions.rs
@@ -17,7 +17,7 @@
 };
 use session::{Session, ms};
 
-/// A log of one replica: each command is committed as soon as it is given.
+/// Log of a single replica, which commits each command immediately.
 struct Log {
     state: ControlState,
     index: u64,
@@ -75,14 +75,14 @@
     let lost = log.confirm("p2", 3_000);
     s.event("ben's confirmation lost the race", &lost);
     if let Applied::Confirmed(Err(e)) = lost {
-        s.event("ben is told", (e.status(), e.to_string(), e.remedy()));
+        s.event("ben receives", (e.status(), e.to_string(), e.remedy()));
     }
-    s.event("a plan that nobody made is confirmed", log.confirm("p9", 3_000));
+    s.event("an unknown plan is confirmed", log.confirm("p9", 3_000));
     log.plan("p3", "ben", None, put_service("quotes"));
-    s.event("ben plans anew and confirms too late", log.confirm("p3", 600_001));
-    s.event("a daemon that holds nothing asks", log.state.update_since(Revision::default()));
-    let held = log.state.revision();
-    s.event("a daemon that holds all asks", log.state.update_since(held));
+    s.event("ben plans again and confirms too late", log.confirm("p3", 600_001));
+    s.event("update of a daemon without state", log.state.update_since(Revision::default()));
+    let newest = log.state.revision();
+    s.event("update of an up-to-date daemon", log.state.update_since(newest));
     s.event(
         "a plan that changes nothing",
         plan::outline(log.state.shared(), &put_service("payouts")),
@@ -94,16 +94,16 @@
         address: "nowhere".into(),
         slots: 12,
     };
-    s.event("a backend server at no address", plan::outline(log.state.shared(), &bad));
+    s.event("a backend server with an invalid address", plan::outline(log.state.shared(), &bad));
     insta::assert_snapshot!(s.0);
 }
 
 #[test]
 fn taking_a_host_out_session() {
-    let mut held = shared::empty();
+    let mut state = shared::empty();
     let mut s = Session::default();
-    let apply = |held: &mut _, intent: Intent| shared::apply(held, &Change::Operator { intent });
-    apply(&mut held, put_service("payouts"));
+    let apply = |state: &mut _, intent: Intent| shared::apply(state, &Change::Operator { intent });
+    apply(&mut state, put_service("payouts"));
     for (name, host) in [("payouts-1", "ph-a1"), ("payouts-2", "ph-b1"), ("payouts-3", "ph-c1")] {
         let intent = Intent::PutBackendServer {
             service: "payouts".into(),
@@ -112,21 +112,21 @@
             address: "127.0.0.1:9001".into(),
             slots: 12,
         };
-        apply(&mut held, intent);
+        apply(&mut state, intent);
     }
     for host in ["ph-a1", "ph-b1", "ph-c1", "ph-x9"] {
         let intent = Intent::TakeOutHost { host: host.into() };
-        s.event(&format!("take out {host}"), plan::outline(&held, &intent));
-        apply(&mut held, intent);
+        s.event(&format!("take out {host}"), plan::outline(&state, &intent));
+        apply(&mut state, intent);
     }
     let back = Intent::ReturnHost { host: "ph-a1".into() };
-    s.event("return ph-a1", plan::outline(&held, &back));
+    s.event("return ph-a1", plan::outline(&state, &back));
     insta::assert_snapshot!(s.0);
 }
 
 #[test]
 fn workspaces_session() {
-    let mut held = shared::empty();
+    let mut state = shared::empty();
     let mut s = Session::default();
     let key = |name: &str| workspaces::digest(name);
     let put = |rate_milli_per_s: u64, burst_milli: u64| Intent::PutWorkspace {
@@ -142,50 +142,50 @@
     let revoke = |key_digest: String| Intent::RevokeKey { workspace: "studio".into(), key_digest };
     let delete = |workspace: &str| Intent::DeleteWorkspace { workspace: workspace.into() };
     let need = |needed: bool| Intent::NeedKeys { needed };
-    let mut state = |what: &str, intent: Intent| {
-        let outline = plan::outline(&held, &intent);
-        let told = outline.as_ref().err().map(|e| (e.status(), e.to_string(), e.remedy()));
+    let mut submit = |what: &str, intent: Intent| {
+        let outline = plan::outline(&state, &intent);
+        let error = outline.as_ref().err().map(|e| (e.status(), e.to_string(), e.remedy()));
         let accepted = outline.is_ok();
-        match told {
-            Some(told) => s.event(what, told),
+        match error {
+            Some(error) => s.event(what, error),
             None => s.event(what, outline),
         }
         if accepted {
-            shared::apply(&mut held, &Change::Operator { intent });
+            shared::apply(&mut state, &Change::Operator { intent });
         }
     };
-    state("keys are needed before there is one", need(true));
-    state("a key for nobody", add("studio", key("k1")));
-    state("a workspace", put(87_500, 9_000));
-    state("it once more", put(87_500, 9_000));
-    state("a burst without a rate", put(0, 9_000));
-    state("a rate beyond all", put(u64::MAX, 0));
-    state("a key in place of its digest", add("studio", "secret-key-of-a-studio".into()));
-    state("its key", add("studio", key("k1")));
-    state("its key once more", add("studio", key("k1")));
-    state("its next key", add("studio", key("k2")));
+    submit("keys are required before one exists", need(true));
+    submit("a key for a missing workspace", add("studio", key("k1")));
+    submit("a workspace", put(87_500, 9_000));
+    submit("the same workspace again", put(87_500, 9_000));
+    submit("a burst without a rate", put(0, 9_000));
+    submit("a rate out of range", put(u64::MAX, 0));
+    submit("a key in place of its digest", add("studio", "secret-key-of-a-studio".into()));
+    submit("a key", add("studio", key("k1")));
+    submit("the same key again", add("studio", key("k1")));
+    submit("a second key", add("studio", key("k2")));
     let other = Intent::PutWorkspace {
         workspace: "guild".into(),
         priority: None,
         rate_milli_per_s: 0,
         burst_milli: 0,
     };
-    state("another workspace", other);
-    state("a key that is taken", add("guild", key("k1")));
-    state("keys are needed", need(true));
-    state("a lower quota", put(20_000, 9_000));
-    state("a higher quota", put(30_000, 10_000));
-    state("no limit", put(0, 0));
-    state("a limit", put(1_000, 0));
-    state("a key that it lacks", revoke(key("k9")));
-    state("one key is revoked", revoke(key("k1")));
-    state("the last key is revoked", revoke(key("k2")));
-    state("a key again", add("studio", key("k2")));
-    state("the workspace with the last key is deleted", delete("studio"));
-    state("one that there is not", delete("studio"));
-    state("the last workspace is deleted", delete("guild"));
-    state("keys are needed no more", need(false));
-    s.event("what is left", &held.config);
+    submit("another workspace", other);
+    submit("a key of another workspace", add("guild", key("k1")));
+    submit("keys are required", need(true));
+    submit("a lower quota", put(20_000, 9_000));
+    submit("a higher quota", put(30_000, 10_000));
+    submit("no limit", put(0, 0));
+    submit("a limit", put(1_000, 0));
+    submit("an unknown key is revoked", revoke(key("k9")));
+    submit("one key is revoked", revoke(key("k1")));
+    submit("the last key is revoked", revoke(key("k2")));
+    submit("a key is added again", add("studio", key("k2")));
+    submit("the workspace with the last key is deleted", delete("studio"));
+    submit("a missing workspace is deleted", delete("studio"));
+    submit("the last workspace is deleted", delete("guild"));
+    submit("keys are no longer required", need(false));
+    s.event("resulting configuration", &state.config);
     insta::assert_snapshot!(s.0);
 }
 
@@ -352,7 +352,7 @@
 #[test]
 fn settings_session() {
     let mut s = Session::default();
-    s.event("as in the manual", settings::read(SETTINGS).map(|s| s.host));
+    s.event("a valid file", settings::read(SETTINGS).map(|s| s.host));
     let cases = [
         ("an unknown key", "log: info", "logs: info"),
         ("a missing key", "  peer_address: 127.0.0.1:7101\n", ""),
@@ -361,26 +361,26 @@
             "  control: [127.0.0.1:7201]\ncontrol",
             "  control: [127.0.0.1:7201]\n  stop_grace_ms: 2s\ncontrol",
         ),
-        ("a clash of ports", "caller_address: 127.0.0.1:7100", "caller_address: 127.0.0.1:7301"),
-        ("no address", "peer_address: 127.0.0.1:7101", "peer_address: localhost"),
-        ("an unknown level", "log: info", "log: loud"),
+        ("a duplicate address", "caller_address: 127.0.0.1:7100", "caller_address: 127.0.0.1:7301"),
+        ("an invalid address", "peer_address: 127.0.0.1:7101", "peer_address: localhost"),
+        ("an unknown log level", "log: info", "log: loud"),
         ("an empty name", "host: ph-a1", "host: ''"),
         ("no control", "control: [127.0.0.1:7201]", "control: []"),
         (
-            "off loopback without a key",
+            "a non-loopback address without a key",
             "caller_address: 127.0.0.1:7100",
             "caller_address: 10.0.0.1:7100",
         ),
         ("this replica is not listed", "replica: 1\n", "replica: 2\n"),
         ("two replicas", "replicas: [{", "replicas: [{replica: 2, rpc_address: 127.0.0.1:7202}, {"),
-        ("a list by another protocol", "  data_folder", "  platform_list: ftp://x\n  data_folder"),
+        ("an unsupported protocol", "  data_folder", "  platform_list: ftp://x\n  data_folder"),
         (
-            "a share beyond one",
+            "a share above 1",
             "  control: [127.0.0.1:7201]\ncontrol",
             "  control: [127.0.0.1:7201]\n  retry_share: 3\ncontrol",
         ),
-        ("no YAML", "host: ph-a1", "host: [ph-a1"),
-        ("nothing at all", SETTINGS, ""),
+        ("invalid YAML", "host: ph-a1", "host: [ph-a1"),
+        ("an empty file", SETTINGS, ""),
     ];
     for (what, from, to) in cases {
         match settings::read(&SETTINGS.replace(from, to)) {
--- a/crates/cherrystream-core/tests/workspaces.rs
+++ b/crates/cherrystream-core/tests/workspaces.rs
@@ -1,4 +1,4 @@
-//! Which workspace a key belongs to, and which tables of workspaces are refused.
+//! Workspaces: look-up by key, and validation of route tables and intents.
 
 use arbtest::arbitrary;
 use cherrystream_core::plan;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_key_leads_to_its_workspace_with_its_quota() {
+fn a_key_maps_to_its_workspace_with_its_quota() {
     let index = index(&table(1, &[("a", &["k1", "k2"]), ("b", &["k3"])]));
     assert!(index.needs_key());
     assert_eq!(holder(&index, "k2").as_deref(), Some("a"));
@@ -58,9 +58,10 @@
     assert_eq!((quota.per_second, quota.burst), (2.5, 5.0));
 }
 
-/// A key that is taken away, and one that moves, are gone from what daemons hold after the patch.
+/// Guards against keys that remain valid after a patch removes them or moves them to another
+/// workspace.
 #[test]
-fn a_patch_brings_the_workspaces_of_the_new_table() {
+fn a_patch_replaces_the_workspaces_of_the_old_table() {
     let old = table(1, &[("a", &["k1", "k2"]), ("b", &["k3"]), ("c", &["k4"])]);
     let new = table(2, &[("a", &["k1"]), ("b", &["k2", "k3"])]);
     let mut patched = Some(old.clone());
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn a_key_that_two_workspaces_hold_is_refused_without_telling_it() {
+fn a_key_of_two_workspaces_is_rejected_without_revealing_it() {
     let fault = routes::validate(&table(1, &[("a", &["k1"]), ("b", &["k1"])])).unwrap_err();
     assert!(fault.what.contains("a and b hold the same key"), "{}", fault.what);
     let all = format!("{}{}", fault.what, fault.remedy);
@@ -81,9 +82,9 @@
     assert!(routes::validate(&table(1, &[("a", &["k1"]), ("b", &["k2"])])).is_ok());
 }
 
-/// Such a name would be left out of the header, and the request run without its workspace.
+/// Guards against requests that run without their workspace because its header is omitted.
 #[test]
-fn a_name_that_cannot_stand_in_a_header_is_refused() {
+fn a_name_that_cannot_be_sent_in_a_header_is_rejected() {
     for name in ["stu\ndio", "st\u{fc}dio", "a\u{0}"] {
         let fault = routes::validate(&table(1, &[(name, &["k1"])])).unwrap_err();
         assert!(fault.what.contains("cannot be sent in a header"), "{}", fault.what);
@@ -92,12 +93,13 @@
 }
 
 #[test]
-fn a_key_is_never_written_out() {
+fn debug_output_hides_the_key() {
     assert_eq!(format!("{:?}", ApiKey::new("secret")), "ApiKey");
 }
 
-/// What an operator would say of a key, without an index: the table goes before the configuration, by name and by key.
-fn holder_by_the_book(table: &RouteTable, config: &Config, key: &str) -> Option<String> {
+/// Reference implementation without an index: the route table takes precedence over the
+/// configuration, by name and by key.
+fn expected_holder(table: &RouteTable, config: &Config, key: &str) -> Option<String> {
     let digest = workspaces::digest(key);
     let holds = |(_, workspace): &(&String, &Workspace)| workspace.key_digests.contains(&digest);
     let in_table = table.workspaces.iter().find(holds);
@@ -109,25 +111,27 @@
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 const KEYS: [&str; 5] = ["k1", "k2", "k3", "k4", "k5"];
 
-/// Draws workspaces of which no two hold a key.
-fn drawn(u: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<BTreeMap<String, Workspace>> {
-    let mut drawn = BTreeMap::<String, Workspace>::new();
+/// Generates workspaces without common keys.
+fn any_workspaces(
+    u: &mut arbitrary::Unstructured<'_>,
+) -> arbitrary::Result<BTreeMap<String, Workspace>> {
+    let mut workspaces = BTreeMap::<String, Workspace>::new();
     for name in NAMES {
         if u.arbitrary()? {
             let burst_milli = u.int_in_range(0..=2)?;
-            drawn.insert(name.into(), Workspace { burst_milli, ..Workspace::default() });
+            workspaces.insert(name.into(), Workspace { burst_milli, ..Workspace::default() });
         }
     }
     for key in KEYS {
-        let holder = drawn.get_mut(*u.choose(&NAMES)?);
+        let holder = workspaces.get_mut(*u.choose(&NAMES)?);
         if let Some(holder) = holder {
             holder.key_digests.push(workspaces::digest(key));
         }
     }
-    Ok(drawn)
+    Ok(workspaces)
 }
 
-fn intent(u: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<Intent> {
+fn any_intent(u: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<Intent> {
     let workspace = u.choose(&NAMES)?.to_string();
     let key_digest = workspaces::digest(u.choose(&KEYS)?);
     Ok(match u.int_in_range(0..=4)? {
@@ -144,10 +148,10 @@
     })
 }
 
-/// A daemon gets patches and intents one by one, or the whole state: it must let the same requests in. The log applies only
-/// intents that a plan allowed, so those are left out here that a plan refuses.
+/// Guards against daemons that accept different keys depending on whether they received single
+/// changes or the whole state. Skips intents that a plan rejects: the log never contains them.
 #[test]
-fn changes_one_by_one_lead_to_the_index_of_the_whole_state() {
+fn incremental_changes_and_the_whole_state_give_the_same_index() {
     arbtest::arbtest(|u| {
         let mut state = shared::empty();
         let mut newest = RouteTable { needs_key: false, ..table(0, &[]) };
@@ -155,7 +159,7 @@
             if u.arbitrary()? {
                 let next = RouteTable {
                     number,
-                    workspaces: drawn(u)?,
+                    workspaces: any_workspaces(u)?,
                     needs_key: u.arbitrary()?,
                     ..newest.clone()
                 };
@@ -164,7 +168,7 @@
                 newest = next;
                 assert_eq!(state.routes.as_ref(), Some(&newest));
             } else {
-                let intent = intent(u)?;
+                let intent = any_intent(u)?;
                 if plan::outline(&state, &intent).is_ok() {
                     shared::apply(&mut state, &Change::Operator { intent });
                 }
@@ -175,7 +179,7 @@
             let whole = WorkspaceIndex::new(whole.routes.as_ref(), &whole.config);
             assert_eq!(step.needs_key(), newest.needs_key || state.config.needs_key);
             for key in KEYS {
-                let expected = holder_by_the_book(&newest, &state.config, key);
+                let expected = expected_holder(&newest, &state.config, key);
                 assert_eq!(holder(&step, key), expected, "{key}");
                 assert_eq!(holder(&whole, key), expected, "{key}");
             }
@@ -184,9 +188,9 @@
     });
 }
 
-/// A daemon makes its index anew only where this says so.
+/// Guards against an outdated index: a daemon rebuilds it only if `is_of` returns false.
 #[test]
-fn an_index_tells_whether_it_is_of_a_configuration() {
+fn an_index_detects_changes_of_the_configuration() {
     let mut config = Config::default();
     let empty = WorkspaceIndex::new(None, &config);
     config.hosts_out.push("host-a".into());
@@ -202,9 +206,10 @@
     assert!(!without.is_of(&config));
 }
 
-/// Load: a request of each of many workspaces. Shortest of several rounds, so that other work on the machine doesn't count.
+/// Guards against look-ups that search all workspaces. Uses the shortest of several rounds, which
+/// other load on the machine affects least.
 #[test]
-fn look_ups_do_not_grow_with_the_number_of_workspaces() {
+fn look_up_time_does_not_grow_with_the_number_of_workspaces() {
     let round = |index: &WorkspaceIndex, keys: &[ApiKey]| {
         let started = Instant::now();
         let found = keys.iter().cycle().take(10_000).filter(|key| index.holder(key).is_some());
@@ -221,12 +226,12 @@
     };
     let (few, many) = (shortest(10), shortest(10_000));
     println!("10,000 look-ups: {few:?} with 10 workspaces, {many:?} with 10,000");
-    // A thousand times as many would take a thousand times as long where each was looked at; caches alone cost some.
+    // A linear search would take a thousand times as long; cache misses account for some increase.
     assert!(many < few * 10, "{few:?} with 10 workspaces, {many:?} with 10,000");
 }
 
 #[test]
-fn a_digest_is_told_from_a_key() {
+fn a_digest_is_distinguished_from_a_key() {
     assert!(workspaces::is_digest(&workspaces::digest("secret")));
     for key in [
         "",
@@ -238,12 +243,12 @@
     }
 }
 
-/// Nobody gets in, or not all who think so: `status` names it.
+/// Guards against silent lock-outs: no workspace has a key, or the route table shadows a workspace.
 #[test]
-fn what_keeps_callers_out_is_named() {
+fn lock_outs_of_callers_are_reported() {
     let locked = table(1, &[("a", &[])]);
-    let told = workspaces::needs_attention(Some(&locked), &Config::default());
-    assert_eq!(told, ["requests need a key and no workspace has one: all are refused"]);
+    let reported = workspaces::needs_attention(Some(&locked), &Config::default());
+    assert_eq!(reported, ["requests need a key and no workspace has one: all are refused"]);
     let mut config = Config { needs_key: true, ..Config::default() };
     assert_eq!(workspaces::needs_attention(None, &config).len(), 1);
     config.workspaces.insert("a".into(), workspace(&["k1"]));
@@ -251,7 +256,7 @@
     let both = workspaces::needs_attention(Some(&table(1, &[("a", &["k2"])])), &config);
     assert_eq!(both.len(), 1);
     assert!(both[0].contains("workspace a is also in the route table"), "{both:?}");
-    // It can be deleted, and nothing else be done with it.
+    // A shadowed workspace can only be deleted.
     let mut state = shared::empty();
     state.routes = Some(table(1, &[("a", &["k2"])]));
     state.config = config;
