--- a/crates/cherrystream-core/src/instances.rs
+++ b/crates/cherrystream-core/src/instances.rs
@@ -1,46 +1,48 @@
-//! Instances: runs of the backend server beside a daemon, as they report themselves.
+//! Registration of instances: runs of the backend server beside a daemon, as they report
+//! themselves.
 //!
-//! An instance that said that it leaves never takes new work again, whoever heard it and however
-//! late an earlier report arrives. So a change of state is acknowledged only once the replicated
-//! log holds it, and [`register`] lets no state go back.
+//! An instance that has reported that it leaves never gets new requests again, whichever process
+//! received the report and however late an earlier report arrives. A change of state is therefore
+//! acknowledged only once it is in the replicated log, and [`register`] never reverts a state.
 //!
-//! An instance that starts again under its identifier tells a later start. That is another run, which
-//! knows nothing of the earlier one. Starts are compared with each other only, never with a clock here.
+//! An instance that restarts under the same identifier reports a later start time and shares no
+//! state with the earlier one. Start times are compared only with each other, never with a local
+//! clock.
 
 use cherrystream_schema::messages::{Instance, InstanceRecord, ServerState};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// Earlier instances of one host that are remembered.
-const RETIRED_KEPT: usize = 16;
+/// Number of former instances of a host that are kept.
+const MAX_RETIRED: usize = 16;
 
-/// What an instance says of itself.
+/// A report of an instance about itself.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InstanceReport {
-    /// It runs.
+    /// It is running.
     Runs(Instance),
-    /// It ends, and takes no new work.
+    /// It is stopping and accepts no new requests.
     Ends {
-        /// Its identifier.
+        /// Identifier of the instance.
         id: String,
-        /// Start of the run that ends, where it tells; else the run that is known ends.
+        /// Start time of the stopping instance in milliseconds; `None` means the current one.
         born_ms: Option<u64>,
     },
 }
 
-/// What becomes of a report.
+/// Outcome of a report.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It is acknowledged; nothing changes.
+    /// Acknowledged; nothing changes.
     Acknowledge,
-    /// It is acknowledged once [`Keeper::is_registered`] holds.
+    /// Acknowledged once [`Keeper::is_registered`] returns true.
     AwaitRegistration,
-    /// It is not acknowledged, for it is not known what was acknowledged before.
+    /// Not acknowledged, since the registered instance is not yet known.
     NotYet,
 }
 
-/// Returns how far a state is on the way to the end of an instance.
-fn stage(state: ServerState) -> u8 {
+/// Returns the position of a state in the life cycle of an instance.
+fn progress(state: ServerState) -> u8 {
     match state {
         ServerState::Starting => 0,
         ServerState::Live => 1,
@@ -49,97 +51,97 @@
     }
 }
 
-/// Returns what is registered after an instance's word, or `None` when it changes nothing.
-pub fn register(known: Option<&InstanceRecord>, word: &Instance) -> Option<InstanceRecord> {
+/// Returns the record after a report of an instance, or `None` if the report changes nothing.
+pub fn register(known: Option<&InstanceRecord>, report: &Instance) -> Option<InstanceRecord> {
     let Some(known) = known else {
         return Some(InstanceRecord {
-            instance: word.clone(),
+            instance: report.clone(),
             retired: Vec::new(),
             retired_born_ms: BTreeMap::new(),
         });
     };
-    if known.retired.contains(&word.id) {
-        let ended = known.retired_born_ms.get(&word.id).copied().unwrap_or_default();
-        return (word.born_ms > ended).then(|| succeed(known, word));
+    if known.retired.contains(&report.id) {
+        let ended = known.retired_born_ms.get(&report.id).copied().unwrap_or_default();
+        return (report.born_ms > ended).then(|| replace(known, report));
     }
-    if known.instance.id != word.id {
-        return Some(succeed(known, word));
+    if known.instance.id != report.id {
+        return Some(replace(known, report));
     }
-    match word.born_ms.cmp(&known.instance.born_ms) {
-        // An earlier run's late word.
+    match report.born_ms.cmp(&known.instance.born_ms) {
+        // A late report of an earlier instance.
         Ordering::Less => None,
-        // A later run holds nothing of the earlier one, so its state and sequence start anew.
-        Ordering::Greater => Some(InstanceRecord { instance: word.clone(), ..known.clone() }),
-        Ordering::Equal => register_in_run(known, word),
+        // A later instance starts with its own state and sequence.
+        Ordering::Greater => Some(InstanceRecord { instance: report.clone(), ..known.clone() }),
+        Ordering::Equal => update(known, report),
     }
 }
 
-/// Returns what is registered after a word of the run that is registered.
-fn register_in_run(known: &InstanceRecord, word: &Instance) -> Option<InstanceRecord> {
-    // A state that lies further on holds whatever the sequence says: no instance goes back.
-    let (said, held) = (stage(word.state), stage(known.instance.state));
-    let older = said == held && word.sequence < known.instance.sequence;
-    if said < held || older || *word == known.instance {
+/// Returns the record after a further report of the registered instance.
+fn update(known: &InstanceRecord, report: &Instance) -> Option<InstanceRecord> {
+    // A later state takes precedence over the sequence, as an instance never reverts a state.
+    let (reported, registered) = (progress(report.state), progress(known.instance.state));
+    let older = reported == registered && report.sequence < known.instance.sequence;
+    if reported < registered || older || *report == known.instance {
         return None;
     }
-    Some(InstanceRecord { instance: word.clone(), ..known.clone() })
+    Some(InstanceRecord { instance: report.clone(), ..known.clone() })
 }
 
-/// Retires the run that is registered in favour of one under another identifier.
-fn succeed(known: &InstanceRecord, word: &Instance) -> InstanceRecord {
+/// Replaces the registered instance by one with another identifier.
+fn replace(known: &InstanceRecord, report: &Instance) -> InstanceRecord {
     let ended = &known.instance;
     let mut retired = known.retired.clone();
     let mut retired_born_ms = known.retired_born_ms.clone();
-    retired.retain(|id| *id != word.id);
+    retired.retain(|id| *id != report.id);
     retired.push(ended.id.clone());
-    let excess = retired.len().saturating_sub(RETIRED_KEPT);
+    let excess = retired.len().saturating_sub(MAX_RETIRED);
     retired.drain(..excess);
     if ended.born_ms > 0 {
         retired_born_ms.insert(ended.id.clone(), ended.born_ms);
     }
     retired_born_ms.retain(|id, _| retired.contains(id));
-    InstanceRecord { instance: word.clone(), retired, retired_born_ms }
+    InstanceRecord { instance: report.clone(), retired, retired_born_ms }
 }
 
-/// A run of an instance.
+/// Identifies one start of an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Run {
+struct InstanceKey {
     id: String,
     born_ms: u64,
 }
 
-impl Run {
-    fn of(instance: &Instance) -> Run {
-        Run { id: instance.id.clone(), born_ms: instance.born_ms }
+impl InstanceKey {
+    fn of(instance: &Instance) -> InstanceKey {
+        InstanceKey { id: instance.id.clone(), born_ms: instance.born_ms }
     }
 
-    /// Returns whether this is a run, or a later one under the same identifier.
-    fn is_at_or_after(&self, other: &Instance) -> bool {
+    /// Returns whether this is the same instance as `other`, or a later start of it.
+    fn is_same_or_later(&self, other: &Instance) -> bool {
         self.id == other.id && self.born_ms >= other.born_ms
     }
 }
 
-/// What a daemon knows of the instance beside it.
+/// Tracks the instance beside a daemon and its registration.
 #[derive(Debug, Default)]
 pub struct Keeper {
-    /// Set once it is known what was registered before this process started.
+    /// Whether control has confirmed what is registered for this host.
     confirmed: bool,
-    /// Instance that was registered before this process started, where there was one.
-    found: Option<Run>,
+    /// Instance that was already registered when this process started.
+    initial: Option<InstanceKey>,
     registered: Option<InstanceRecord>,
-    /// What is to be registered.
+    /// Reported instance that is not yet registered.
     wanted: Option<Instance>,
-    /// Runs that ended before they were registered.
-    ended: Vec<Run>,
+    /// Instances that stopped before they were registered.
+    ended: Vec<InstanceKey>,
 }
 
 impl Keeper {
-    /// Takes what is registered for this host by a confirmed word of control; returns whether that
-    /// changes anything here.
+    /// Records what is registered for this host according to a confirmed answer of control; returns
+    /// whether that changes anything here.
     pub fn on_registered(&mut self, record: Option<&InstanceRecord>) -> bool {
         let known = self.confirmed && self.registered.as_ref() == record;
         if !self.confirmed {
-            self.found = record.map(|record| Run::of(&record.instance));
+            self.initial = record.map(|record| InstanceKey::of(&record.instance));
         }
         self.confirmed = true;
         self.registered = record.cloned();
@@ -150,7 +152,7 @@
         settled || !known
     }
 
-    /// Takes a report.
+    /// Handles a report of an instance.
     pub fn on_report(&mut self, report: InstanceReport) -> Verdict {
         if !self.confirmed {
             return Verdict::NotYet;
@@ -161,35 +163,35 @@
         }
     }
 
-    fn on_runs(&mut self, mut word: Instance) -> Verdict {
-        if self.ended.iter().any(|run| run.is_at_or_after(&word)) {
+    fn on_runs(&mut self, mut instance: Instance) -> Verdict {
+        if self.ended.iter().any(|key| key.is_same_or_later(&instance)) {
             return Verdict::Acknowledge;
         }
-        // What was heard last counts, although it may not be registered yet.
-        if let Some(wanted) = self.wanted.as_ref().filter(|w| w.id == word.id) {
-            match word.born_ms.cmp(&wanted.born_ms) {
+        // The last report takes precedence, even if it is not yet registered.
+        if let Some(wanted) = self.wanted.as_ref().filter(|w| w.id == instance.id) {
+            match instance.born_ms.cmp(&wanted.born_ms) {
                 Ordering::Less => return Verdict::Acknowledge,
-                Ordering::Equal if stage(word.state) <= stage(wanted.state) => {
+                Ordering::Equal if progress(instance.state) <= progress(wanted.state) => {
                     return Verdict::AwaitRegistration;
                 }
                 _ => {}
             }
         }
         if let Some(known) = self.registered.as_ref().map(|r| &r.instance)
-            && Run::of(known) == Run::of(&word)
-            && known.state == word.state
-            && known.service == word.service
-            && known.address == word.address
-            && known.slots == word.slots
-            && known.version == word.version
+            && InstanceKey::of(known) == InstanceKey::of(&instance)
+            && known.state == instance.state
+            && known.service == instance.service
+            && known.address == instance.address
+            && known.slots == instance.slots
+            && known.version == instance.version
         {
-            // Only the sequence moves on, which nobody else needs to know.
-            word.sequence = known.sequence;
+            // Only the sequence differs, which need not be registered.
+            instance.sequence = known.sequence;
         }
-        match register(self.registered.as_ref(), &word) {
+        match register(self.registered.as_ref(), &instance) {
             None => Verdict::Acknowledge,
             Some(_) => {
-                self.wanted = Some(word);
+                self.wanted = Some(instance);
                 Verdict::AwaitRegistration
             }
         }
@@ -199,15 +201,15 @@
         let wanted = self.wanted.as_ref().filter(|w| w.id == id);
         let registered = self.registered.as_ref().map(|r| &r.instance).filter(|i| i.id == id);
         let known = wanted.or(registered);
-        if known.is_some_and(|run| born_ms.is_some_and(|born| born < run.born_ms)) {
-            // An earlier run's late word.
+        if known.is_some_and(|instance| born_ms.is_some_and(|born| born < instance.born_ms)) {
+            // A late report of an earlier instance.
             return Verdict::Acknowledge;
         }
         let Some(instance) = known else {
-            self.note_ended(Run { id, born_ms: born_ms.unwrap_or_default() });
+            self.record_ended(InstanceKey { id, born_ms: born_ms.unwrap_or_default() });
             return Verdict::Acknowledge;
         };
-        // A later run has ended before it was heard of, so the one that is known has ended as well.
+        // A later instance stopped before its first report, so the known one has stopped as well.
         let born_ms = born_ms.unwrap_or(instance.born_ms);
         if instance.state == ServerState::Down && born_ms <= instance.born_ms {
             return match wanted {
@@ -219,33 +221,34 @@
         Verdict::AwaitRegistration
     }
 
-    fn note_ended(&mut self, run: Run) {
-        self.ended.push(run);
-        let excess = self.ended.len().saturating_sub(RETIRED_KEPT);
+    fn record_ended(&mut self, key: InstanceKey) {
+        self.ended.push(key);
+        let excess = self.ended.len().saturating_sub(MAX_RETIRED);
         self.ended.drain(..excess);
     }
 
-    /// Returns whether it is known what was registered before this process started.
+    /// Returns whether control has confirmed what is registered for this host.
     pub fn is_confirmed(&self) -> bool {
         self.confirmed
     }
 
-    /// Returns whether a run was first heard of by this process: no other one has sent it anything.
-    pub fn is_new(&self, run: &Instance) -> bool {
-        self.confirmed && self.found != Some(Run::of(run))
+    /// Returns whether the first report of an instance was received by this process, so no other
+    /// process has sent it requests.
+    pub fn is_new(&self, instance: &Instance) -> bool {
+        self.confirmed && self.initial != Some(InstanceKey::of(instance))
     }
 
-    /// Returns whether everything that was reported is registered.
+    /// Returns whether every accepted report is registered.
     pub fn is_registered(&self) -> bool {
         self.wanted.is_none()
     }
 
-    /// Returns the instance to be registered.
+    /// Returns the instance that is to be registered.
     pub fn wanted(&self) -> Option<&Instance> {
         self.wanted.as_ref()
     }
 
-    /// Returns the instance beside this daemon by the latest word.
+    /// Returns the instance beside this daemon according to its last report.
     pub fn current(&self) -> Option<&Instance> {
         self.wanted.as_ref().or(self.registered.as_ref().map(|r| &r.instance))
     }
--- a/crates/cherrystream-core/src/rollout/conductor.rs
+++ b/crates/cherrystream-core/src/rollout/conductor.rs
@@ -1,10 +1,12 @@
-//! The steps of roll-outs: how many requests a version is offered, when it gets all of them, and when nothing more.
+//! Decides the steps of roll-outs: the exposure of the canary, and when it is completed or rolled
+//! back.
 //!
-//! Each replica follows them, so that a new leader knows how long a roll-out has been under way; only the leader's steps go
-//! into the log. A new leader hears all counts anew within a heartbeat of every daemon.
+//! Every replica runs the controller, so that a new leader knows how long a roll-out has been in
+//! progress; only the steps of the leader are committed. A new leader receives all counts within
+//! one heartbeat interval.
 
-use super::judge::Judge;
-use super::tally::Counted;
+use super::evaluation::Evaluator;
+use super::tally::CountsDelta;
 use super::{is_under_way, live};
 use crate::units::Timestamp;
 use cherrystream_schema::messages::{
@@ -13,34 +15,34 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Share of the time after which a version that is not condemned gets all requests. Late, for one that turns bad after that gets
-/// more than is stated; what is left serves to empty the old backend servers.
-const MOVES_AT: f64 = 0.75;
-/// Share of the time by which the roll-out is completed, so that its acknowledgement is in time.
-const COMPLETES_BY: f64 = 0.92;
-/// Shortest time between the move and the completion: the old backend servers stop at once then, and requests that were
-/// sent before the last daemon heard of the move have to be done.
-const EMPTIES_FOR: Duration = Duration::from_millis(1_500);
-/// Room of the version, as a share of that of the old ones, from which it can take all requests.
-const ROOM_NEEDED: f64 = 0.5;
-/// Answers of a version that are wanted before it moves: with little traffic a small share of it tells nothing.
-const ANSWERS_WANTED: f64 = 30.0;
-/// Largest share that is offered for the sake of these.
-const OFFERED_AT_MOST: f64 = 0.5;
-/// Part of the stated exposure that is used: counts of the last heartbeat are missing in it.
-const EXPOSURE_USED: f64 = 0.7;
-/// Change of the exposure that is worth a step.
-const WORTH_A_STEP: f64 = 0.2;
+/// Share of the allowed time after which a canary without regression gets all requests. The rest of
+/// the time serves to drain the old backend servers.
+const MOVE_AT_SHARE: f64 = 0.75;
+/// Share of the allowed time by which the roll-out is completed, in time for its acknowledgement.
+const COMPLETE_BY_SHARE: f64 = 0.92;
+/// Shortest time between the move and the completion. The old backend servers stop at completion,
+/// after the requests sent before the last daemon received the step have finished.
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(1_500);
+/// Slots of the canary, as a share of those of the old versions, that suffice for all requests.
+const MIN_SLOT_SHARE: f64 = 0.5;
+/// Responses of the canary required before it gets all requests.
+const MIN_CANARY_ANSWERS: f64 = 30.0;
+/// Largest exposure used to obtain these responses.
+const MAX_EVIDENCE_EXPOSURE: f64 = 0.5;
+/// Share of the allowed requests that is used. The rest is for requests not yet reported.
+const USED_LIMIT_SHARE: f64 = 0.7;
+/// Smallest relative change of the exposure that is committed as a step.
+const MIN_RELATIVE_STEP: f64 = 0.2;
 
-/// Exposure by the share of the time that has passed: few requests first.
+/// Exposure by the elapsed share of the allowed time.
 const SCHEDULE: [(f64, f64); 2] = [(0.0, 0.02), (0.15, 0.05)];
 
-/// How far a version that is not trusted may be exposed.
+/// Bounds on the requests sent to a canary.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Share of the requests of its service, from the order on.
+    /// Share of the requests of the service since the start of the roll-out.
     pub share: f64,
-    /// Requests beyond that.
+    /// Number of requests allowed in addition.
     pub slack: f64,
 }
 
@@ -50,83 +52,82 @@
     }
 }
 
-/// The time as the conductor needs it.
+/// The current time on both clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct Moment {
-    /// On the clock of this process.
+    /// Monotonic clock of this process.
     pub now: Timestamp,
-    /// Unix milliseconds: only a process that starts during a roll-out reads them.
+    /// Unix milliseconds, used when this process first sees a roll-out.
     pub unix_ms: u64,
 }
 
-/// Conducts the roll-outs that are under way.
+/// Controls the roll-outs in progress.
 #[derive(Debug, Default)]
 pub struct Conductor {
     limits: Limits,
-    under_way: BTreeMap<String, UnderWay>,
+    active: BTreeMap<String, ActiveRollout>,
 }
 
 #[derive(Debug)]
-struct UnderWay {
+struct ActiveRollout {
     version: String,
     started_at_ms: u64,
-    /// Time that had passed at `seen_at`.
-    passed_before: Duration,
+    /// Time that had elapsed at `seen_at`.
+    elapsed_before: Duration,
     seen_at: Timestamp,
     moved_at: Option<Timestamp>,
-    judge: Judge,
-    hosts: BTreeMap<String, Host>,
-    /// Answers of the version since the order.
-    new: u64,
-    /// Answers of the old versions since the order.
+    evaluator: Evaluator,
+    hosts: BTreeMap<String, HostReport>,
+    /// Responses of the canary since the start.
+    canary: u64,
+    /// Responses of the old versions since the start.
     old: u64,
 }
 
-/// The latest word of a daemon.
+/// The last report of a daemon.
 #[derive(Debug)]
-struct Host {
+struct HostReport {
     incarnation: u64,
-    run: String,
-    heard_at: Timestamp,
-    is_new: bool,
-    at_work: u32,
+    instance: String,
+    received_at: Timestamp,
+    is_canary: bool,
+    in_flight: u32,
     kinds: BTreeMap<String, KindTally>,
 }
 
 impl Conductor {
-    /// Creates one.
+    /// Creates a controller without roll-outs.
     pub fn new(limits: Limits) -> Conductor {
-        Conductor { limits, under_way: BTreeMap::new() }
+        Conductor { limits, active: BTreeMap::new() }
     }
 
-    /// Takes what a daemon has counted. A tally that comes twice, or late, counts once.
-    pub fn on_tally(&mut self, now: Timestamp, word: &HostTally) {
-        let tally = &word.tally;
-        let known = self.under_way.get_mut(&tally.service);
-        if let Some(under_way) = known.filter(|known| known.started_at_ms == tally.started_at_ms) {
-            under_way.on_tally(now, word);
+    /// Handles the counts of a daemon. They are cumulative, so repeated reports count once.
+    pub fn on_tally(&mut self, now: Timestamp, report: &HostTally) {
+        let tally = &report.tally;
+        let known = self.active.get_mut(&tally.service);
+        if let Some(active) = known.filter(|known| known.started_at_ms == tally.started_at_ms) {
+            active.on_tally(now, report);
         }
     }
 
-    /// Follows the roll-outs of a state; returns the steps that are due.
+    /// Follows the roll-outs of the shared state; returns the steps that are due.
     pub fn decide(&mut self, at: Moment, shared: &Shared) -> Vec<Change> {
         let known = &shared.config.rollouts;
-        let goes_on = |service: &String, under_way: &mut UnderWay| {
-            known.get(service).is_some_and(|r| is_under_way(r) && under_way.is_of(r))
+        let is_current = |service: &String, active: &mut ActiveRollout| {
+            known.get(service).is_some_and(|r| is_under_way(r) && active.is_of(r))
         };
-        self.under_way.retain(goes_on);
+        self.active.retain(is_current);
         let due = |(service, rollout): (&String, &Rollout)| {
-            let begin = || UnderWay::new(at, rollout);
-            let under_way = self.under_way.entry(service.clone()).or_insert_with(begin);
-            let room = Room::of(shared, service, rollout);
-            let step = under_way.decide(at.now, rollout, room, self.limits)?;
+            let begin = || ActiveRollout::new(at, rollout);
+            let active = self.active.entry(service.clone()).or_insert_with(begin);
+            let slots = Slots::of(shared, service, rollout);
+            let step = active.decide(at.now, rollout, slots, self.limits)?;
             Some(step.change(service, rollout))
         };
         known.iter().filter(|(_, rollout)| is_under_way(rollout)).filter_map(due).collect()
     }
 }
 
-/// A step that is due.
 struct Step {
     stage: RolloutStage,
     exposure_milli: u32,
@@ -150,42 +151,42 @@
     }
 }
 
-/// Slots of live backend servers.
+/// Slots of live backend servers of the canary and the old versions.
 #[derive(Clone, Copy, Debug, Default)]
-struct Room {
-    new: u32,
+struct Slots {
+    canary: u32,
     old: u32,
 }
 
-impl Room {
-    fn of(shared: &Shared, service: &str, rollout: &Rollout) -> Room {
-        let mut room = Room::default();
+impl Slots {
+    fn of(shared: &Shared, service: &str, rollout: &Rollout) -> Slots {
+        let mut slots = Slots::default();
         for instance in live(shared, service) {
             match instance.version == rollout.version {
-                true => room.new += instance.slots,
-                false => room.old += instance.slots,
+                true => slots.canary += instance.slots,
+                false => slots.old += instance.slots,
             }
         }
-        room
+        slots
     }
 
-    fn is_enough(self) -> bool {
-        self.new > 0 && f64::from(self.new) >= ROOM_NEEDED * f64::from(self.old)
+    fn are_sufficient(self) -> bool {
+        self.canary > 0 && f64::from(self.canary) >= MIN_SLOT_SHARE * f64::from(self.old)
     }
 }
 
-impl UnderWay {
-    fn new(at: Moment, rollout: &Rollout) -> UnderWay {
-        let passed_ms = at.unix_ms.saturating_sub(rollout.started_at_ms).min(rollout.within_ms);
-        UnderWay {
+impl ActiveRollout {
+    fn new(at: Moment, rollout: &Rollout) -> ActiveRollout {
+        let elapsed_ms = at.unix_ms.saturating_sub(rollout.started_at_ms).min(rollout.within_ms);
+        ActiveRollout {
             version: rollout.version.clone(),
             started_at_ms: rollout.started_at_ms,
-            passed_before: Duration::from_millis(passed_ms),
+            elapsed_before: Duration::from_millis(elapsed_ms),
             seen_at: at.now,
             moved_at: None,
-            judge: Judge::default(),
+            evaluator: Evaluator::default(),
             hosts: BTreeMap::new(),
-            new: 0,
+            canary: 0,
             old: 0,
         }
     }
@@ -194,33 +195,33 @@
         self.version == rollout.version && self.started_at_ms == rollout.started_at_ms
     }
 
-    fn on_tally(&mut self, now: Timestamp, word: &HostTally) {
-        let HostTally { host, incarnation, tally } = word;
+    fn on_tally(&mut self, now: Timestamp, report: &HostTally) {
+        let HostTally { host, incarnation, tally } = report;
         let known = self.hosts.get(host);
-        let same = known.filter(|h| h.incarnation == *incarnation && h.run == tally.run);
-        let is_new = tally.version == self.version;
-        let counted: Vec<(String, Counted)> = tally
+        let same = known.filter(|h| h.incarnation == *incarnation && h.instance == tally.run);
+        let is_canary = tally.version == self.version;
+        let deltas: Vec<(String, CountsDelta)> = tally
             .kinds
             .iter()
             .map(|(kind, now)| {
                 let before = same.and_then(|host| host.kinds.get(kind));
-                (kind.clone(), Counted::since(now, before))
+                (kind.clone(), CountsDelta::since(now, before))
             })
             .collect();
-        self.judge.pass(now);
-        counted.iter().for_each(|(kind, counted)| self.count(&tally.run, is_new, kind, counted));
-        self.hosts.insert(host.clone(), Host::new(now, *incarnation, is_new, tally));
+        self.evaluator.decay(now);
+        deltas.iter().for_each(|(kind, delta)| self.count(&tally.run, is_canary, kind, delta));
+        self.hosts.insert(host.clone(), HostReport::new(now, *incarnation, is_canary, tally));
     }
 
-    fn count(&mut self, run: &str, is_new: bool, kind: &str, counted: &Counted) {
-        match is_new {
+    fn count(&mut self, instance: &str, is_canary: bool, kind: &str, delta: &CountsDelta) {
+        match is_canary {
             true => {
-                self.new += counted.answered;
-                self.judge.on_new(run, kind, counted);
+                self.canary += delta.answered;
+                self.evaluator.on_canary(instance, kind, delta);
             }
             false => {
-                self.old += counted.answered;
-                self.judge.on_old(kind, counted);
+                self.old += delta.answered;
+                self.evaluator.on_baseline(kind, delta);
             }
         }
     }
@@ -229,99 +230,102 @@
         &mut self,
         now: Timestamp,
         rollout: &Rollout,
-        room: Room,
+        slots: Slots,
         limits: Limits,
     ) -> Option<Step> {
-        self.judge.pass(now);
-        if let Some(finding) = self.judge.finding() {
+        self.evaluator.decay(now);
+        if let Some(finding) = self.evaluator.finding() {
             return Step::roll_back(finding.to_string());
         }
         match rollout.stage {
-            RolloutStage::Trying => self.try_on(now, rollout, room, limits),
-            _ => self.complete(now, rollout, room),
+            RolloutStage::Trying => self.advance_canary(now, rollout, slots, limits),
+            _ => self.complete(now, rollout, slots),
         }
     }
 
-    fn try_on(
+    fn advance_canary(
         &mut self,
         now: Timestamp,
         rollout: &Rollout,
-        room: Room,
+        slots: Slots,
         limits: Limits,
     ) -> Option<Step> {
-        let passed = self.passed(now, rollout);
-        if passed >= MOVES_AT && room.is_enough() {
-            let reason = format!("not worse in {} of {} answers", self.new, self.new + self.old);
+        let elapsed = self.elapsed(now, rollout);
+        if elapsed >= MOVE_AT_SHARE && slots.are_sufficient() {
+            let reason =
+                format!("no regression in {} of {} responses", self.canary, self.canary + self.old);
             return Some(Step { stage: RolloutStage::Moving, exposure_milli: 1_000, reason });
         }
-        if passed >= 1.0 {
-            let (new, old) = (room.new, room.old);
+        if elapsed >= 1.0 {
+            let (canary, old) = (slots.canary, slots.old);
             let what = format!(
-                "its backend servers had {new} slots when the time was over, the old ones {old}"
+                "its backend servers had {canary} slots at the deadline, the old ones {old}"
             );
             return Step::roll_back(what);
         }
-        let wanted = match room.new {
+        let target = match slots.canary {
             0 => 0.0,
             _ => self.exposure(now, rollout, limits),
         };
-        let has = f64::from(rollout.exposure_milli) / 1_000.0;
-        let turned = (wanted == 0.0) != (has == 0.0);
-        let is_step = turned || (wanted - has).abs() > WORTH_A_STEP * has.max(wanted);
-        let reason = format!("{} of {} answers", self.new, self.new + self.old);
-        let exposure_milli = (wanted * 1_000.0).ceil() as u32;
+        let current = f64::from(rollout.exposure_milli) / 1_000.0;
+        let is_toggled = (target == 0.0) != (current == 0.0);
+        let is_step =
+            is_toggled || (target - current).abs() > MIN_RELATIVE_STEP * current.max(target);
+        let reason = format!("{} of {} responses", self.canary, self.canary + self.old);
+        let exposure_milli = (target * 1_000.0).ceil() as u32;
         is_step.then_some(Step { stage: RolloutStage::Trying, exposure_milli, reason })
     }
 
-    /// Returns the share of requests that the version is offered while it is not trusted.
+    /// Returns the share of requests sent to the canary while it is evaluated.
     fn exposure(&self, now: Timestamp, rollout: &Rollout, limits: Limits) -> f64 {
-        let passed = self.passed(now, rollout);
-        let all = (self.new + self.old) as f64;
+        let elapsed = self.elapsed(now, rollout);
+        let all = (self.canary + self.old) as f64;
         let allowed = limits.share * all + limits.slack;
-        if self.new as f64 >= EXPOSURE_USED * allowed {
+        if self.canary as f64 >= USED_LIMIT_SHARE * allowed {
             return 0.0;
         }
-        let due = SCHEDULE.iter().rev().find(|(from, _)| passed >= *from);
+        let due = SCHEDULE.iter().rev().find(|(from, _)| elapsed >= *from);
         let due = due.map_or(0.0, |(_, exposure)| *exposure);
-        let rest = (MOVES_AT - passed).max(0.0) / passed.max(0.01);
-        let to_come = all * rest;
-        let lacking = (ANSWERS_WANTED - self.new as f64).max(0.0);
-        let for_answers = (lacking / to_come.max(1.0)).min(OFFERED_AT_MOST);
-        // Few first: what more is wanted for the sake of answers waits until some are there.
-        let begun = passed >= SCHEDULE[1].0;
-        if begun { due.max(for_answers) } else { due }
+        let remaining = (MOVE_AT_SHARE - elapsed).max(0.0) / elapsed.max(0.01);
+        let expected = all * remaining;
+        let missing = (MIN_CANARY_ANSWERS - self.canary as f64).max(0.0);
+        let for_evidence = (missing / expected.max(1.0)).min(MAX_EVIDENCE_EXPOSURE);
+        // The first exposure stays small even if responses are lacking.
+        let is_past_first = elapsed >= SCHEDULE[1].0;
+        if is_past_first { due.max(for_evidence) } else { due }
     }
 
-    fn complete(&mut self, now: Timestamp, rollout: &Rollout, room: Room) -> Option<Step> {
+    fn complete(&mut self, now: Timestamp, rollout: &Rollout, slots: Slots) -> Option<Step> {
         let moved_at = *self.moved_at.get_or_insert(now);
-        if room.new == 0 {
-            return Step::roll_back("none of its backend servers is left".into());
+        if slots.canary == 0 {
+            return Step::roll_back("none of its backend servers is live".into());
         }
         let moved_for = now.since(moved_at);
-        let old = self.hosts.values().filter(|host| !host.is_new);
-        let is_empty = |host: &Host| host.at_work == 0 && host.heard_at > moved_at;
-        let is_emptied = moved_for >= EMPTIES_FOR && old.clone().all(is_empty);
-        let is_due = self.passed(now, rollout) >= COMPLETES_BY && moved_for >= EMPTIES_FOR;
-        let reason = format!("not worse in {} of {} answers", self.new, self.new + self.old);
+        let old = self.hosts.values().filter(|host| !host.is_canary);
+        let is_idle = |host: &HostReport| host.in_flight == 0 && host.received_at > moved_at;
+        let is_drained = moved_for >= MIN_DRAIN_TIME && old.clone().all(is_idle);
+        let is_due = self.elapsed(now, rollout) >= COMPLETE_BY_SHARE && moved_for >= MIN_DRAIN_TIME;
+        let reason =
+            format!("no regression in {} of {} responses", self.canary, self.canary + self.old);
         let step = Step { stage: RolloutStage::Completed, exposure_milli: 1_000, reason };
-        (is_emptied || is_due).then_some(step)
+        (is_drained || is_due).then_some(step)
     }
 
-    /// Returns which share of its time has passed.
-    fn passed(&self, now: Timestamp, rollout: &Rollout) -> f64 {
-        let passed = self.passed_before + now.since(self.seen_at);
-        passed.as_secs_f64() / Duration::from_millis(rollout.within_ms.max(1)).as_secs_f64()
+    /// Returns the elapsed share of the allowed time.
+    fn elapsed(&self, now: Timestamp, rollout: &Rollout) -> f64 {
+        let elapsed = self.elapsed_before + now.since(self.seen_at);
+        elapsed.as_secs_f64() / Duration::from_millis(rollout.within_ms.max(1)).as_secs_f64()
     }
 }
 
-impl Host {
-    fn new(now: Timestamp, incarnation: u64, is_new: bool, tally: &VersionTally) -> Host {
-        Host {
+impl HostReport {
+    fn new(now: Timestamp, incarnation: u64, is_canary: bool, tally: &VersionTally) -> HostReport {
+        HostReport {
             incarnation,
-            run: tally.run.clone(),
-            heard_at: now,
-            is_new,
-            at_work: tally.at_work,
+            instance: tally.run.clone(),
+            received_at: now,
+            is_canary,
+            in_flight: tally.at_work,
             kinds: tally.kinds.clone(),
         }
     }
--- /dev/null
+++ b/crates/cherrystream-core/src/rollout/evaluation.rs
@@ -0,0 +1,274 @@
+//! Evaluation of a canary: compares its responses with those of the old versions at the same time,
+//! by kind of request.
+//!
+//! A sequential test decides when there is enough evidence: Wald's likelihood ratio (Sequential
+//! Tests of Statistical Hypotheses, 1945) with a lower bound of zero, so that a version that
+//! degrades later is detected as fast as one that is bad from the start (Page, Continuous
+//! Inspection Schemes, 1954).
+
+use super::tally::{BUCKETS, CountsDelta};
+use crate::units::Timestamp;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Log-likelihood ratio from which the canary is considered worse. A test of a good version reaches
+/// it by chance in about 1 of 10,000 cases.
+const REGRESSION_SCORE: f64 = 9.2;
+/// Increase of the share of failures that the test detects.
+const FAILURE_INCREASE: f64 = 0.03;
+/// Smallest baseline share of failures.
+const MIN_FAILURE_SHARE: f64 = 0.005;
+/// Weight of the smallest share of failures, in responses.
+const PRIOR_ANSWERS: f64 = 200.0;
+/// Increase of the share of slow responses that the test detects.
+const SLOW_INCREASE: f64 = 0.4;
+/// Smallest baseline share of slow responses.
+const MIN_SLOW_SHARE: f64 = 0.03;
+/// Weight of the smallest share of slow responses, in responses.
+const PRIOR_TIMINGS: f64 = 20.0;
+/// Histogram buckets above the baseline median from which a response is slow: two to three times
+/// the median.
+const SLOW_BUCKETS: usize = 3;
+/// Service times of the old versions required before a response can be slow.
+const MIN_TIMINGS: f64 = 8.0;
+/// Half-lives of the baseline counts. The larger share of the two is used, so that neither a
+/// disturbance of all versions nor a single good second makes the canary look worse.
+const HALF_LIVES: [Duration; 2] = [Duration::from_millis(200), Duration::from_secs(10)];
+/// Responses of an instance required to compare it with others.
+const MIN_INSTANCE_ANSWERS: u64 = 5;
+/// Share of all bad responses from which a single instance, not the version, is the cause.
+const SINGLE_INSTANCE_SHARE: f64 = 0.8;
+
+/// Kind of regression.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Fault {
+    /// More requests fail.
+    Fails,
+    /// Responses are several times slower.
+    Slow,
+}
+
+impl Fault {
+    /// Returns the verb for messages.
+    pub const fn as_str(self) -> &'static str {
+        match self {
+            Fault::Fails => "failed",
+            Fault::Slow => "were slow",
+        }
+    }
+}
+
+/// A detected regression.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Finding {
+    /// Kind of request.
+    pub kind: String,
+    /// Kind of regression.
+    pub fault: Fault,
+    /// Responses of the canary to that kind of request.
+    pub answered: u64,
+    /// Bad responses among them.
+    pub bad: u64,
+    /// Recent share of bad responses of the old versions.
+    pub baseline: f64,
+}
+
+impl std::fmt::Display for Finding {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        write!(
+            f,
+            "{} of {} responses to {} {}, against {:.1} in 100 of the old versions",
+            self.bad,
+            self.answered,
+            self.kind,
+            self.fault.as_str(),
+            self.baseline * 100.0
+        )
+    }
+}
+
+/// Evaluates the responses of a canary.
+#[derive(Debug, Default)]
+pub struct Evaluator {
+    kinds: BTreeMap<String, KindEvaluator>,
+    /// Responses and bad responses of the canary, by instance and kind of regression.
+    instances: BTreeMap<(String, Fault), (u64, u64)>,
+    decayed_at: Option<Timestamp>,
+}
+
+#[derive(Debug, Default)]
+struct KindEvaluator {
+    /// Recent counts of the old versions, one for each half-life.
+    baseline: [BaselineCounts; 2],
+    tests: BTreeMap<Fault, SequentialTest>,
+}
+
+#[derive(Clone, Copy, Debug, Default)]
+struct SequentialTest {
+    answered: u64,
+    bad: u64,
+    score: f64,
+}
+
+/// Exponentially decayed counts of the old versions.
+#[derive(Debug, Default)]
+struct BaselineCounts {
+    answered: f64,
+    failed: f64,
+    times: [f64; BUCKETS],
+}
+
+impl Evaluator {
+    /// Decays the baseline to the current time.
+    pub fn decay(&mut self, now: Timestamp) {
+        let passed = now.since(self.decayed_at.replace(now).unwrap_or(now));
+        let factor = |life: Duration| 0.5_f64.powf(passed.as_secs_f64() / life.as_secs_f64());
+        for kind in self.kinds.values_mut() {
+            kind.baseline
+                .iter_mut()
+                .zip(HALF_LIVES)
+                .for_each(|(counts, life)| counts.decay(factor(life)));
+        }
+    }
+
+    /// Records responses of an old version.
+    pub fn on_baseline(&mut self, kind: &str, counts: &CountsDelta) {
+        let kind_state = self.kinds.entry(kind.into()).or_default();
+        kind_state.baseline.iter_mut().for_each(|baseline| baseline.add(counts));
+    }
+
+    /// Records responses of an instance of the canary.
+    pub fn on_canary(&mut self, instance: &str, kind: &str, counts: &CountsDelta) {
+        let kind_state = self.kinds.entry(kind.into()).or_default();
+        let failures = Sample { answered: counts.answered, bad: counts.failed };
+        let samples = [(Fault::Fails, Some(failures)), (Fault::Slow, kind_state.slow(counts))];
+        for (fault, sample) in samples {
+            let Some(sample) = sample else { continue };
+            let baseline = kind_state.baseline_share(fault);
+            kind_state.tests.entry(fault).or_default().update(sample, baseline, fault.increase());
+            let totals = self.instances.entry((instance.into(), fault)).or_default();
+            totals.0 += sample.answered;
+            totals.1 += sample.bad;
+        }
+    }
+
+    /// Returns a regression of the canary, if one is detected.
+    pub fn finding(&self) -> Option<Finding> {
+        let found = |(kind, kind_state): (&String, &KindEvaluator)| {
+            let (fault, test) =
+                kind_state.tests.iter().find(|(_, test)| test.score >= REGRESSION_SCORE)?;
+            Some(Finding {
+                kind: kind.clone(),
+                fault: *fault,
+                answered: test.answered,
+                bad: test.bad,
+                baseline: kind_state.baseline_share(*fault),
+            })
+        };
+        self.kinds.iter().filter_map(found).find(|finding| !self.is_single_instance(finding.fault))
+    }
+
+    /// Returns whether nearly all bad responses come from one of several instances.
+    fn is_single_instance(&self, fault: Fault) -> bool {
+        let instances =
+            self.instances.iter().filter(|((_, f), _)| *f == fault).map(|(_, tried)| *tried);
+        let tried: Vec<(u64, u64)> =
+            instances.filter(|(answered, _)| *answered >= MIN_INSTANCE_ANSWERS).collect();
+        let bad: u64 = tried.iter().map(|(_, bad)| bad).sum();
+        let worst = tried.iter().map(|(_, bad)| *bad).max().unwrap_or_default();
+        tried.len() > 1 && worst as f64 > SINGLE_INSTANCE_SHARE * bad as f64
+    }
+}
+
+impl KindEvaluator {
+    /// Returns the bucket from which a response is slow; `None` without enough baseline times.
+    fn slow_from_bucket(&self) -> Option<usize> {
+        let [_, longer] = &self.baseline;
+        longer.median_bucket().map(|bucket| (bucket + SLOW_BUCKETS).min(BUCKETS))
+    }
+
+    fn slow(&self, counts: &CountsDelta) -> Option<Sample> {
+        let from = self.slow_from_bucket()?;
+        let answered = counts.times.iter().sum();
+        Some(Sample { answered, bad: counts.times[from..].iter().sum() })
+    }
+
+    /// Returns the baseline share of bad responses.
+    fn baseline_share(&self, fault: Fault) -> f64 {
+        let from = self.slow_from_bucket().unwrap_or(BUCKETS);
+        let shares = self.baseline.iter().map(|counts| counts.share_of(fault, from));
+        shares.fold(0.0, f64::max)
+    }
+}
+
+impl Fault {
+    const fn increase(self) -> f64 {
+        match self {
+            Fault::Fails => FAILURE_INCREASE,
+            Fault::Slow => SLOW_INCREASE,
+        }
+    }
+}
+
+/// Responses tested together.
+#[derive(Clone, Copy, Debug)]
+struct Sample {
+    answered: u64,
+    bad: u64,
+}
+
+impl SequentialTest {
+    /// Adds the log-likelihood ratio of the sample: worse by `more`, against the baseline share.
+    fn update(&mut self, sample: Sample, baseline: f64, more: f64) {
+        let worse = baseline + more * (1.0 - baseline);
+        let good = sample.answered.saturating_sub(sample.bad);
+        let ratio = sample.bad as f64 * (worse / baseline).ln()
+            + good as f64 * ((1.0 - worse) / (1.0 - baseline)).ln();
+        self.score = (self.score + ratio).max(0.0);
+        self.answered += sample.answered;
+        self.bad += sample.bad;
+    }
+}
+
+impl BaselineCounts {
+    fn decay(&mut self, factor: f64) {
+        self.answered *= factor;
+        self.failed *= factor;
+        self.times.iter_mut().for_each(|count| *count *= factor);
+    }
+
+    fn add(&mut self, counts: &CountsDelta) {
+        self.answered += counts.answered as f64;
+        self.failed += counts.failed as f64;
+        for (known, count) in self.times.iter_mut().zip(counts.times) {
+            *known += count as f64;
+        }
+    }
+
+    /// Returns the bucket of the median; `None` without enough times.
+    fn median_bucket(&self) -> Option<usize> {
+        let known: f64 = self.times.iter().sum();
+        if known < MIN_TIMINGS {
+            return None;
+        }
+        let mut below = 0.0;
+        self.times.iter().position(|count| {
+            below += count;
+            below * 2.0 >= known
+        })
+    }
+
+    /// Returns the share of bad responses, smoothed with the smallest share as a prior.
+    fn share_of(&self, fault: Fault, slow_from_bucket: usize) -> f64 {
+        let share = |bad: f64, of: f64, least: f64, prior: f64| {
+            ((bad + least * prior) / (of + prior)).clamp(least, 0.9)
+        };
+        match fault {
+            Fault::Fails => share(self.failed, self.answered, MIN_FAILURE_SHARE, PRIOR_ANSWERS),
+            Fault::Slow => {
+                let slow = self.times[slow_from_bucket..].iter().sum();
+                share(slow, self.times.iter().sum(), MIN_SLOW_SHARE, PRIOR_TIMINGS)
+            }
+        }
+    }
+}
--- a/crates/cherrystream-core/src/rollout/guard.rs
+++ b/crates/cherrystream-core/src/rollout/guard.rs
@@ -1,56 +1,56 @@
-//! What a door decides by itself on a version under trial: when control is silent, or nearly all answers fail.
+//! Local limits of an inbound for a canary, independent of the leader of control.
 
 use crate::units::Timestamp;
 use std::time::Duration;
 
-/// Failures in a row after which a door stops: a good version has so many by chance once in millions of answers.
-const FAILURES: u32 = 5;
-/// Good answers that make up for a failure.
-const GOOD_FOR_EACH: u32 = 3;
-/// Time for which it stops: control has decided by then, if it can be reached.
-const STOPS_FOR: Duration = Duration::from_secs(2);
+/// Failures in a row that open the circuit breaker.
+const MAX_FAILURES: u32 = 5;
+/// Successful responses that offset one failure.
+const SUCCESSES_PER_FAILURE: u32 = 3;
+/// Time for which the circuit breaker stays open. Covers the time in which control decides.
+const OPEN_TIME: Duration = Duration::from_secs(2);
 
-/// Stops a door when most answers of its backend server fail. Control sees the answers of all doors, but half a second later
-/// and not while it has no leader.
+/// Circuit breaker of a canary backend server. Opens when most responses fail, also while control
+/// has no leader.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Guard {
-    /// Failures, less what good answers made up for, in units of one good answer.
+    /// Failures not yet offset, in units of one successful response.
     debt: u32,
-    stopped_until: Option<Timestamp>,
+    open_until: Option<Timestamp>,
 }
 
 impl Guard {
-    /// Notes an answer.
+    /// Records a response.
     pub fn on_answer(&mut self, now: Timestamp, failed: bool) {
         self.debt = match failed {
-            true => self.debt + GOOD_FOR_EACH,
+            true => self.debt + SUCCESSES_PER_FAILURE,
             false => self.debt.saturating_sub(1),
         };
-        if self.debt >= FAILURES * GOOD_FOR_EACH {
-            self.stopped_until = Some(now + STOPS_FOR);
-            // A backend server that is sound again has to fail as often once more; one that is not fails at once.
-            self.debt -= 2 * GOOD_FOR_EACH;
+        if self.debt >= MAX_FAILURES * SUCCESSES_PER_FAILURE {
+            self.open_until = Some(now + OPEN_TIME);
+            // Keeps part of the debt, so that two further failures open the breaker again.
+            self.debt -= 2 * SUCCESSES_PER_FAILURE;
         }
     }
 
-    /// Returns whether the door is stopped.
+    /// Returns whether requests are refused.
     pub fn is_stopped(&self, now: Timestamp) -> bool {
-        self.stopped_until.is_some_and(|until| now < until)
+        self.open_until.is_some_and(|until| now < until)
     }
 }
 
-/// Until when the word of control holds that a trial goes on. Without that word nobody would notice that the version is
-/// bad, so a door lets nothing more in.
+/// Lease granted by control that allows a canary to get requests. Without it, a regression of the
+/// canary could go undetected, so the inbound refuses requests to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Word(Option<Timestamp>);
 
 impl Word {
-    /// Takes a word that holds until a time.
+    /// Extends the lease until a time.
     pub fn hear(&mut self, until: Timestamp) {
         self.0 = self.0.max(Some(until));
     }
 
-    /// Returns whether a word holds.
+    /// Returns whether the lease is valid.
     pub fn holds(&self, now: Timestamp) -> bool {
         self.0.is_some_and(|until| now < until)
     }
--- a/crates/cherrystream-core/src/rollout/tally.rs
+++ b/crates/cherrystream-core/src/rollout/tally.rs
@@ -1,23 +1,24 @@
-//! What a door counts of the answers of its backend server, for the verdict on a version.
+//! Counts of the responses of a backend server, for the evaluation of a canary.
 
 use cherrystream_schema::messages::KindTally;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Steps of time that are told apart, two for each doubling from a millisecond on.
-pub const STEPS: usize = 32;
-/// Kinds of request that one door counts: names of kinds come with requests, and a tally has to stay short.
-const KINDS_AT_MOST: usize = 16;
+/// Number of buckets of the histogram of service times, two for each doubling from 1 ms.
+pub const BUCKETS: usize = 32;
+/// Largest number of request kinds counted. Kinds are named by requests, so the counts sent to
+/// control need a bound.
+const MAX_KINDS: usize = 16;
 
-/// Returns the step that a time falls into.
-pub fn step(time: Duration) -> usize {
+/// Returns the bucket of a service time.
+pub fn bucket(time: Duration) -> usize {
     let ms = time.as_secs_f64() * 1_000.0;
-    let step = (ms.max(1.0).log2() * 2.0).floor() as usize;
-    step.min(STEPS - 1)
+    let bucket = (ms.max(1.0).log2() * 2.0).floor() as usize;
+    bucket.min(BUCKETS - 1)
 }
 
-/// Answers of one backend server since its door was opened.
+/// Responses of one backend server since its roll-out was first seen.
 #[derive(Debug, Default)]
 pub struct Counts {
     kinds: BTreeMap<Arc<str>, KindCounts>,
@@ -27,34 +28,34 @@
 struct KindCounts {
     answered: u64,
     failed: u64,
-    times: [u64; STEPS],
+    times: [u64; BUCKETS],
 }
 
-/// An answer, or that there was none in time.
+/// A response, or a missing one at the deadline.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer {
-    /// Whether it told a failure of the backend server.
+    /// Whether it reports a failure of the backend server.
     pub failed: bool,
-    /// Time that the work took at the usual pace of the host; absent for a cold backend server, which is slow whatever
-    /// its version.
+    /// Service time, corrected for the slowness of the host. `None` for a cold backend server,
+    /// which is slow with any version.
     pub took: Option<Duration>,
 }
 
 impl Counts {
-    /// Counts an answer.
+    /// Counts a response.
     pub fn on_answer(&mut self, kind: &Arc<str>, answer: Answer) {
-        if self.kinds.len() >= KINDS_AT_MOST && !self.kinds.contains_key(kind) {
+        if self.kinds.len() >= MAX_KINDS && !self.kinds.contains_key(kind) {
             return;
         }
         let counts = self.kinds.entry(kind.clone()).or_default();
         counts.answered += 1;
         counts.failed += u64::from(answer.failed);
         if let Some(took) = answer.took {
-            counts.times[step(took)] += 1;
+            counts.times[bucket(took)] += 1;
         }
     }
 
-    /// Returns the counts by kind.
+    /// Returns the counts by kind of request.
     pub fn by_kind(&self) -> BTreeMap<String, KindTally> {
         self.kinds.iter().map(|(kind, counts)| (kind.to_string(), counts.tally())).collect()
     }
@@ -63,35 +64,36 @@
 impl KindCounts {
     fn tally(&self) -> KindTally {
         let counted = self.times.iter().enumerate().filter(|(_, count)| **count > 0);
-        let times = counted.map(|(step, count)| (step.to_string(), *count)).collect();
+        let times = counted.map(|(bucket, count)| (bucket.to_string(), *count)).collect();
         KindTally { answered: self.answered, failed: self.failed, times }
     }
 }
 
-/// What was counted between two tallies of one door.
+/// Difference between two reports of the counts of one backend server.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Counted {
-    /// Answers.
+pub struct CountsDelta {
+    /// Number of responses.
     pub answered: u64,
-    /// Those that told a failure.
+    /// Number of responses that report a failure.
     pub failed: u64,
-    /// Those whose time counts, by its step.
-    pub times: [u64; STEPS],
+    /// Number of responses by bucket of their service time.
+    pub times: [u64; BUCKETS],
 }
 
-impl Counted {
-    /// Returns what a tally counts beyond an earlier one of the same door.
-    pub fn since(tally: &KindTally, earlier: Option<&KindTally>) -> Counted {
+impl CountsDelta {
+    /// Returns the difference between a report and an earlier one of the same backend server.
+    pub fn since(tally: &KindTally, earlier: Option<&KindTally>) -> CountsDelta {
         let nothing = KindTally { answered: 0, failed: 0, times: BTreeMap::new() };
         let earlier = earlier.unwrap_or(&nothing);
-        let mut times = [0; STEPS];
-        for (step, count) in &tally.times {
-            let place = step.parse().ok().and_then(|step: usize| times.get_mut(step));
-            if let Some(place) = place {
-                *place = count.saturating_sub(earlier.times.get(step).copied().unwrap_or_default());
+        let mut times = [0; BUCKETS];
+        for (bucket, count) in &tally.times {
+            let slot = bucket.parse().ok().and_then(|bucket: usize| times.get_mut(bucket));
+            if let Some(slot) = slot {
+                *slot =
+                    count.saturating_sub(earlier.times.get(bucket).copied().unwrap_or_default());
             }
         }
-        Counted {
+        CountsDelta {
             answered: tally.answered.saturating_sub(earlier.answered),
             failed: tally.failed.saturating_sub(earlier.failed),
             times,
--- a/crates/cherrystream-core/src/suspects/ends.rs
+++ b/crates/cherrystream-core/src/suspects/ends.rs
@@ -1,9 +1,10 @@
-//! Finds out at one door that its backend server has ended, and which requests were at work there.
+//! Detects crashes of one backend server and the requests that were in flight at that time.
 //!
-//! A broken connection alone proves nothing: it may have been reset, or the answer was broken off. Nor does it when the server takes no
-//! other one at that moment: some are full and reset all that is too much. An end is proved when nothing that was at work before is at
-//! work any more, and soon after connections broke another one is refused, or closed at once time and again, or another run of the
-//! server is heard of.
+//! A broken connection alone is no evidence: it may have been reset, or the response cut off.
+//! A refused connection is none either: an overloaded server resets excess connections. A crash is
+//! confirmed when no request that was in flight before is still in flight and, shortly after
+//! connections broke, a new connection is refused, or repeatedly closed at once, or another
+//! instance of the server reports.
 
 use super::identity::Identity;
 use super::record::EndId;
@@ -11,161 +12,173 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time for which a broken connection may still be explained by an end: within it another run of the server is heard of. On the day
-/// on which this was first seen, servers reported again 3.0 to 3.5 s after they had ended.
-const EXPLAINED_WITHIN: Duration = Duration::from_secs(5);
-/// Time for which a request was at work from which the server is taken to have lived: whoever passes connections on for one that is
-/// down closes them sooner.
-const LIVED_FOR: Duration = Duration::from_millis(20);
-/// As `EXPLAINED_WITHIN`, for a request whose caller left while it was at work: a caller that leaves early is not proved innocent.
-const LEFT_WITHIN: Duration = Duration::from_secs(1);
-/// Time after a proved end in which other connections are noticed to have broken with it.
-const NOTICED_WITHIN: Duration = Duration::from_secs(1);
-/// Requests remembered at most: several times the slots of a backend server.
-const REMEMBERED_AT_MOST: usize = 256;
-
-/// A request at work at a backend server.
+/// Time within which a crash that is confirmed later explains a broken connection. Covers the
+/// restart of a server and the first report of its new instance.
+const CRASH_WINDOW: Duration = Duration::from_secs(5);
+/// Shortest time in flight after which a lost request shows that the server was alive. A proxy in
+/// front of a server that is down closes connections sooner.
+const MIN_ALIVE: Duration = Duration::from_millis(20);
+/// Like `CRASH_WINDOW`, for a request whose caller disconnected while it was in flight: it may
+/// still have caused the crash.
+const ABANDONED_WINDOW: Duration = Duration::from_secs(1);
+/// Time after a confirmed crash within which further broken connections belong to it.
+const SAME_CRASH_WINDOW: Duration = Duration::from_secs(1);
+/// Largest number of unexplained requests kept; exceeds the slots of a backend server.
+const MAX_UNEXPLAINED: usize = 256;
+
+/// A request that was sent to a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sent {
-    /// The request.
+    /// Identity of the request.
     pub identity: Identity,
-    /// Whether it runs alone: no other request that is known for ends runs there.
+    /// Whether it runs in isolation: no other suspect request runs at that server.
     pub alone: bool,
 }
 
-/// A proved end, with the requests that were at work.
+/// A confirmed crash and the requests that were in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ended {
-    /// The end.
+    /// Identifier of the crash.
     pub id: EndId,
-    /// Requests that were at work.
+    /// Requests that were in flight.
     pub at_work: Vec<Sent>,
 }
 
-struct Unexplained {
+struct LostRequest {
     sent_at: Timestamp,
-    since: Timestamp,
-    until: Timestamp,
+    lost_at: Timestamp,
+    expires_at: Timestamp,
     sent: Sent,
 }
 
-impl Unexplained {
-    /// Returns whether it shows that the server lived after a time: it was sent later, and at work for a while.
-    fn shows_life_after(&self, at: Timestamp) -> bool {
-        self.sent_at > at && self.since.since(self.sent_at) >= LIVED_FOR
+impl LostRequest {
+    /// Returns whether the server was alive after `at`: the request was sent later and stayed in
+    /// flight for a while.
+    fn proves_alive_after(&self, at: Timestamp) -> bool {
+        self.sent_at > at && self.lost_at.since(self.sent_at) >= MIN_ALIVE
     }
 }
 
-/// What one door knows of ends.
+/// Crash detection state of one backend server.
 #[derive(Default)]
 pub struct Ends {
-    unexplained: Vec<Unexplained>,
-    /// The last proved end, until an answer shows that the server is there again.
-    last: Option<(Timestamp, EndId)>,
-    /// When each request at work was sent.
+    unexplained: Vec<LostRequest>,
+    /// The last confirmed crash, until a response shows that the server is back.
+    last_crash: Option<(Timestamp, EndId)>,
+    /// Time at which each request in flight was sent.
     at_work: BTreeMap<Ticket, Timestamp>,
     next: Ticket,
     alone: bool,
-    looking: bool,
+    probing: bool,
 }
 
-/// Names a request at work at a door.
+/// Identifies a request in flight at a backend server.
 pub type Ticket = u64;
 
 impl Ends {
-    /// Notes that a request is sent.
+    /// Records that a request is sent.
     pub fn begin(&mut self, now: Timestamp) -> Ticket {
         self.next += 1;
         self.at_work.insert(self.next, now);
         self.next
     }
 
-    /// Notes that a request is not at work any more, whatever became of it.
+    /// Records that a request is no longer in flight, whatever its outcome.
     pub fn leave(&mut self, ticket: Ticket) {
         self.at_work.remove(&ticket);
     }
 
-    /// Returns whether a request is still at work that was so when connections broke: the server is there.
+    /// Returns whether a request sent before connections broke is still in flight, which shows that
+    /// the server is alive.
     pub fn has_survivor(&self) -> bool {
-        let broke = self.unexplained.iter().map(|broken| broken.since).min();
+        let broke = self.unexplained.iter().map(|lost| lost.lost_at).min();
         broke.is_some_and(|broke| self.at_work.values().any(|sent_at| *sent_at < broke))
     }
 
-    /// Returns whether somebody has to look for the proof of an end, and nobody does.
+    /// Starts a probe for a crash; returns whether one is needed and none is running.
     pub fn begin_look(&mut self, now: Timestamp) -> bool {
-        self.wants_proof(now) && !std::mem::replace(&mut self.looking, true)
+        self.wants_proof(now) && !std::mem::replace(&mut self.probing, true)
     }
 
-    /// Notes that nobody looks any more.
+    /// Records that the probe has ended.
     pub fn end_look(&mut self) {
-        self.looking = false;
+        self.probing = false;
     }
 
-    /// Takes the place of the one request that may run alone; returns whether it was free.
+    /// Acquires the single slot for a request in isolation; returns whether it was free.
     pub fn begin_alone(&mut self) -> bool {
         !std::mem::replace(&mut self.alone, true)
     }
 
-    /// Frees the place of the request that ran alone.
+    /// Releases the slot for a request in isolation.
     pub fn end_alone(&mut self) {
         self.alone = false;
     }
 
-    /// Notes that the connection under a request that was sent at a time broke. Returns the end that explains it, where that is proved
-    /// already.
+    /// Records that the connection of a request sent at `sent_at` broke. Returns the crash that
+    /// explains it, if one is already confirmed.
     pub fn on_broke(&mut self, now: Timestamp, sent_at: Timestamp, sent: Sent) -> Option<Ended> {
-        let broken = Unexplained { sent_at, since: now, until: now + EXPLAINED_WITHIN, sent };
-        let proved = self.last.filter(|(at, _)| now.since(*at) < NOTICED_WITHIN);
-        if let Some((_, id)) = proved.filter(|(at, _)| !broken.shows_life_after(*at)) {
+        let lost = LostRequest { sent_at, lost_at: now, expires_at: now + CRASH_WINDOW, sent };
+        let confirmed = self.last_crash.filter(|(at, _)| now.since(*at) < SAME_CRASH_WINDOW);
+        if let Some((_, id)) = confirmed.filter(|(at, _)| !lost.proves_alive_after(*at)) {
             return Some(Ended { id, at_work: vec![sent] });
         }
-        self.remember(broken);
+        self.record_lost(lost);
         None
     }
 
-    /// Notes that the caller of a request that was sent at a time left while it was at work.
+    /// Records that the caller of a request sent at `sent_at` disconnected while it was in flight.
     pub fn on_left(&mut self, now: Timestamp, sent_at: Timestamp, sent: Sent) {
-        self.remember(Unexplained { sent_at, since: now, until: now + LEFT_WITHIN, sent });
+        self.record_lost(LostRequest {
+            sent_at,
+            lost_at: now,
+            expires_at: now + ABANDONED_WINDOW,
+            sent,
+        });
     }
 
-    /// Notes the proof that the server has ended; `id` is used if this is news. Returns the end with the requests that it explains.
+    /// Records a confirmed crash; `id` is used unless it is one already recorded. Returns the crash
+    /// with the requests that it explains.
     pub fn on_ended(&mut self, now: Timestamp, id: EndId) -> Option<Ended> {
-        // A server that is back and ends at once, before it has answered anything, has ended twice.
-        let lived = |at: &Timestamp| self.unexplained.iter().any(|b| b.shows_life_after(*at));
-        let known = self.last.filter(|(at, _)| now.since(*at) < EXPLAINED_WITHIN && !lived(at));
+        // A server that restarts and crashes before its first response has crashed twice.
+        let was_alive_after =
+            |at: &Timestamp| self.unexplained.iter().any(|lost| lost.proves_alive_after(*at));
+        let known =
+            self.last_crash.filter(|(at, _)| now.since(*at) < CRASH_WINDOW && !was_alive_after(at));
         let (at, id) = known.unwrap_or((now, id));
-        self.last = Some((at, id));
-        self.forget_late(now);
-        let at_work: Vec<Sent> = self.unexplained.drain(..).map(|broken| broken.sent).collect();
+        self.last_crash = Some((at, id));
+        self.expire(now);
+        let at_work: Vec<Sent> = self.unexplained.drain(..).map(|lost| lost.sent).collect();
         (!at_work.is_empty()).then_some(Ended { id, at_work })
     }
 
-    /// Notes an end that was planned: it is nobody's fault.
+    /// Records a planned stop, which is no evidence against any request.
     pub fn on_planned_end(&mut self) {
         self.unexplained.clear();
     }
 
-    /// Notes an answer to a request that was sent at a time: the server was there then, and what broke before broke by itself. An
-    /// answer to an earlier one proves nothing: it may have been read only after the end.
+    /// Records a response to a request sent at `sent_at`: the server was alive then, so connections
+    /// that broke earlier were not broken by a crash. A response to an earlier request is no
+    /// evidence, as it may have been read only after the crash.
     pub fn on_answer(&mut self, sent_at: Timestamp) {
-        self.last = self.last.filter(|(at, _)| *at >= sent_at);
-        self.unexplained.retain(|broken| broken.since >= sent_at);
+        self.last_crash = self.last_crash.filter(|(at, _)| *at >= sent_at);
+        self.unexplained.retain(|lost| lost.lost_at >= sent_at);
     }
 
-    /// Returns whether connections have broken that nothing explains yet.
+    /// Returns whether there are broken connections that no crash explains yet.
     pub fn wants_proof(&mut self, now: Timestamp) -> bool {
-        self.forget_late(now);
+        self.expire(now);
         !self.unexplained.is_empty()
     }
 
-    fn remember(&mut self, broken: Unexplained) {
-        self.forget_late(broken.since);
-        if self.unexplained.len() < REMEMBERED_AT_MOST {
-            self.unexplained.push(broken);
+    fn record_lost(&mut self, lost: LostRequest) {
+        self.expire(lost.lost_at);
+        if self.unexplained.len() < MAX_UNEXPLAINED {
+            self.unexplained.push(lost);
         }
     }
 
-    fn forget_late(&mut self, now: Timestamp) {
-        self.unexplained.retain(|broken| now < broken.until);
+    fn expire(&mut self, now: Timestamp) {
+        self.unexplained.retain(|lost| now < lost.expires_at);
     }
 }
--- a/crates/cherrystream-core/src/suspects/identity.rs
+++ b/crates/cherrystream-core/src/suspects/identity.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same request that came again, whatever identifiers they bear.
+//! Fingerprints that identify a request when it is sent again, whatever identifiers it carries.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -6,18 +6,20 @@
 use std::fmt;
 use std::hash::Hasher;
 
-/// Bytes of a body that are told apart: those of one packet, so that a long body is known before it travels.
+/// Bytes of a body included in the fingerprint. They fit into one packet, so that a long body is
+/// identified before it is transferred.
 pub const BODY_BYTES: usize = 1024;
-/// Keeps this use of the shared key apart from others.
+/// Domain separation for the key derived from the shared key.
 const PURPOSE: &[u8] = b"cherrystream fingerprints of requests";
 
-/// Key of fingerprints, the same at all daemons: without it nobody can make another request with the same fingerprint.
+/// Key of the fingerprints, the same on all daemons. Prevents callers from constructing a request
+/// with the fingerprint of another one.
 #[derive(Clone, Copy)]
 pub struct FingerprintKey([u8; 16]);
 
 impl FingerprintKey {
-    /// Derives the key from the one that the system's own processes share. A closed network has none; there, callers
-    /// that know this code could make two requests look like one.
+    /// Derives the key from the key shared by the processes of the system. A closed network has
+    /// none: callers there could construct two requests with the same fingerprint.
     pub fn new(shared: Option<&str>) -> FingerprintKey {
         let digest = Sha256::new().chain_update(PURPOSE).chain_update(shared.unwrap_or_default());
         let mut key = [0; 16];
@@ -26,7 +28,7 @@
     }
 }
 
-/// Stands for a request in logs and between daemons; tells nothing of its content.
+/// Identifies a request in logs and between daemons without revealing its content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(pub u64);
 
@@ -37,18 +39,19 @@
 }
 
 impl Fingerprint {
-    /// Reads a fingerprint as it stands in logs.
+    /// Parses a fingerprint as written in logs.
     pub fn read(text: &str) -> Option<Fingerprint> {
         u64::from_str_radix(text, 16).ok().map(Fingerprint)
     }
 }
 
-/// Stands for a caller, as far as callers can be told apart.
+/// Identifies a caller, as far as callers can be distinguished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallerMark(pub u64);
 
 impl CallerMark {
-    /// Returns what stands for a caller, by its workspace and by the service beside which its requests begin.
+    /// Returns the fingerprint of a caller: its workspace and the service of the host from which it
+    /// sends.
     pub fn new(key: &FingerprintKey, workspace: Option<&str>, service: Option<&str>) -> CallerMark {
         let mut hasher = SipHasher13::new_with_key(&key.0);
         write_part(&mut hasher, workspace.unwrap_or_default().as_bytes());
@@ -57,41 +60,40 @@
     }
 }
 
-/// What the system knows of a request that comes again.
+/// Fingerprints of a request and of its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Identity {
-    /// The request, its workspace included: no workspace's request is taken for another one's.
+    /// The request, its workspace included: requests of two workspaces always differ.
     pub request: Fingerprint,
-    /// Its caller.
+    /// Caller of the request.
     pub caller: CallerMark,
 }
 
-/// The parts of a request that count.
+/// The parts of a request that identify it.
 #[derive(Clone, Copy, Debug)]
 pub struct Parts<'a> {
-    /// Workspace of the caller, where there are workspaces.
+    /// Workspace of the caller, if workspaces are configured.
     pub workspace: Option<&'a str>,
-    /// Service beside which the request began, where hosts have one.
+    /// Service of the host from which the request is sent, if it has one.
     pub service: Option<&'a str>,
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Host name that was asked for.
+    /// Requested host name.
     pub host: &'a str,
-    /// Path with its query.
+    /// Path and query.
     pub target: &'a str,
     /// Beginning of the body.
     pub body: &'a [u8],
-    /// Length of the body, where it is known before the end.
+    /// Length of the body in bytes, if known in advance.
     pub body_length: Option<u64>,
 }
 
 impl Parts<'_> {
-    /// Returns what stands for the request.
+    /// Returns the fingerprints of the request and its caller.
     pub fn identity(&self, key: &FingerprintKey) -> Identity {
         let caller = CallerMark::new(key, self.workspace, self.service);
         let mut hasher = SipHasher13::new_with_key(&key.0);
-        // A caller sends from the hosts of any service. With the service in it, the same request was another one on the hosts of
-        // each: on hosts of three services 9 servers ended under it in place of 3.
+        // The service is left out: a caller sends the same request from hosts of several services.
         let workspace = self.workspace.unwrap_or_default();
         for part in [workspace, self.method, self.host, self.target] {
             write_part(&mut hasher, part.as_bytes());
@@ -102,7 +104,7 @@
     }
 }
 
-/// The length in front keeps two parts apart from two others that make the same text together.
+/// Writes a part with its length, so that different splits of the same bytes differ.
 fn write_part(hasher: &mut SipHasher13, part: &[u8]) {
     hasher.write(&(part.len() as u64).to_le_bytes());
     hasher.write(part);
--- a/crates/cherrystream-core/src/suspects/mod.rs
+++ b/crates/cherrystream-core/src/suspects/mod.rs
@@ -1,10 +1,11 @@
-//! Requests that end the backend servers that run them: what is known of each, and what follows from it.
+//! Suspect requests: requests that crash the backend servers that serve them.
 //!
-//! The load that this answers: one caller sends a request whose run ends the backend server, again and again, at any daemon. Each
-//! broken connection looked like one more failed attempt, and one such request took a whole service from all other callers.
+//! A caller may send such a request again and again through any daemon. Each broken connection
+//! looks like a failed attempt, and retries could crash all backend servers of a service.
 //!
-//! [`ends`] finds out at one door that a backend server has ended, and which requests were at work; [`table`] joins the ends of all
-//! doors and decides; [`record`] is what daemons tell each other, and [`ring`] whom they tell.
+//! [`ends`] detects a crash of one backend server and the requests in flight; [`table`] merges the
+//! crashes reported by all daemons and decides how a request is treated; [`record`] defines the
+//! messages between daemons, and [`ring`] selects the peers that receive them.
 
 pub mod ends;
 pub mod identity;
@@ -20,8 +21,9 @@
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// Returns the weight of a host for a request: of all hosts that it may go to, it runs alone at the one with the highest. All
-/// daemons that hold the same list find the same one, and a host that goes moves only its own requests.
+/// Returns the weight of a host for a request (rendezvous hashing): a suspect request runs at the
+/// eligible host with the highest weight. Daemons with the same list of hosts select the same one,
+/// and a host that is removed moves only its own requests.
 pub fn weight(request: Fingerprint, host: &str) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write(&request.0.to_le_bytes());
--- a/crates/cherrystream-core/src/suspects/record.rs
+++ b/crates/cherrystream-core/src/suspects/record.rs
@@ -1,74 +1,75 @@
-//! What daemons tell each other of requests that end backend servers.
+//! Messages between daemons about suspect requests.
 
 use super::identity::{CallerMark, Fingerprint};
 use serde::{Deserialize, Serialize};
 
-/// Names one end of a backend server: a random number.
+/// Random identifier of a crash of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndId(pub u64);
 
-/// An end of a backend server while a request was at work there.
+/// A crash of a backend server while a request was in flight there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeenEnd {
-    /// The end.
+    /// Identifier of the crash.
     pub id: EndId,
-    /// Milliseconds since then, when this was written. Ages travel and no times: clocks of hosts differ.
+    /// Milliseconds between the crash and the writing of this record. Ages are sent, since the
+    /// clocks of hosts differ.
     pub age_ms: u64,
-    /// Whether the request ran alone.
+    /// Whether the request ran in isolation.
     pub alone: bool,
 }
 
-/// What is known of a request.
+/// The crashes recorded for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// Its caller.
+    /// Caller of the request.
     pub caller: CallerMark,
-    /// Raised whenever the request is cleared: a word of an earlier one says nothing.
+    /// Incremented whenever the request is cleared; a record of an earlier generation is ignored.
     pub generation: u32,
-    /// Whether all daemons are told of it, or only those with a backend server of the service.
+    /// Whether it is sent to all daemons, or only to those with a backend server of the service.
     pub wide: bool,
-    /// Milliseconds since the last change, when this was written.
+    /// Milliseconds between the last change and the writing of this record.
     pub age_ms: u64,
-    /// Ends since it was last cleared.
+    /// Crashes since the request was last cleared.
     pub ends: Vec<SeenEnd>,
 }
 
-/// Which daemons are told of a change.
+/// The daemons to which a change is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reach {
-    /// Those with a backend server of the service.
+    /// Daemons with a backend server of the service.
     Service,
-    /// All.
+    /// All daemons.
     All,
 }
 
 /// A message between two daemons.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// What the sender tells.
+    /// Records that the sender announces.
     pub records: Vec<Record>,
-    /// Stands for all that the sender knows of requests that all daemons are told of. One who knows something else answers with
-    /// that.
+    /// Digest of all records of the sender that are sent to all daemons. A receiver with another
+    /// digest responds with its own records.
     pub digest: Option<u64>,
 }
 
-/// What follows from what is known of a request.
+/// Status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Standing {
-    /// It was cleared.
+    /// No crash is recorded since it was last cleared.
     Clear,
-    /// A backend server ended while it was at work: coincidence, as far as is known.
+    /// A backend server crashed while it was in flight, possibly by coincidence.
     Watched,
-    /// It runs alone.
+    /// It runs in isolation.
     Alone,
-    /// It is held back.
+    /// It is quarantined.
     HeldBack,
 }
 
 impl Standing {
-    /// Returns the standing as it stands in logs and metrics.
+    /// Returns the value used in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Standing::Clear => "clear",
--- a/crates/cherrystream-core/src/suspects/table.rs
+++ b/crates/cherrystream-core/src/suspects/table.rs
@@ -1,4 +1,4 @@
-//! Joins the ends that all doors tell of, and decides what follows for a request.
+//! Merges the crashes reported by all daemons and decides how a request is treated.
 
 use super::identity::{CallerMark, Fingerprint, Identity};
 use super::record::{EndId, Reach, Record, SeenEnd, Standing};
@@ -10,44 +10,46 @@
 use std::hash::Hasher;
 use std::time::Duration;
 
-/// Ends without a success between from which a request runs alone: one is what a crash or a mass kill gives to thousands of
-/// innocents, and the retry that saves these is the second shot of a guilty one.
-const ALONE_FROM: usize = 2;
-/// Ends from which a request is held back, one of them while it ran alone: nothing else known for ends was there then.
-const HELD_FROM: usize = 3;
-/// Time from the last end to the first trial of a request that is held back: a service is mended in minutes, and each trial may cost
-/// a backend server some seconds.
+/// Number of crashes without a response in elapsed from which a request runs in isolation. A single
+/// crash affects every request in flight, and the retry of a harmless one succeeds.
+const ISOLATE_FROM_CRASHES: usize = 2;
+/// Number of crashes, at least one of them in isolation, from which a request is quarantined. No
+/// other suspect request was in flight at the crash in isolation.
+const QUARANTINE_FROM_CRASHES: usize = 3;
+/// Time from the last crash to the first trial of a quarantined request. A trial may crash a
+/// backend server again.
 const FIRST_TRIAL_AFTER: Duration = Duration::from_secs(30);
-/// Longest time between trials: a service that is never mended loses some 30 servers for some seconds a day.
-const TRIAL_AFTER_AT_MOST: Duration = Duration::from_secs(3_600);
-/// Time after which a suspect, or one that was cleared, is forgotten.
-const SUSPECT_FOR: Duration = Duration::from_secs(3_600);
-/// Time after its last end after which a request that is held back is forgotten.
-const HELD_FOR: Duration = Duration::from_secs(24 * 3_600);
-/// Requests known at most: some 100 KB.
-pub const ENTRIES_AT_MOST: usize = 1_024;
-/// Ends of a request kept at most: more would change nothing.
-const ENDS_AT_MOST: usize = 32;
-
-/// What is done with a request.
+/// Longest time elapsed two trials. Limits the crashes caused by a service that is never repaired.
+const MAX_TRIAL_INTERVAL: Duration = Duration::from_secs(3_600);
+/// Time after which a suspect or cleared request expires.
+const SUSPECT_TTL: Duration = Duration::from_secs(3_600);
+/// Time after its last crash after which a quarantined request expires.
+const QUARANTINE_TTL: Duration = Duration::from_secs(24 * 3_600);
+/// Largest number of requests in the table; bounds its memory.
+pub const MAX_ENTRIES: usize = 1_024;
+/// Largest number of crashes kept for a request. More would not change its status.
+const MAX_CRASHES: usize = 32;
+
+/// How a request is treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is treated as any other.
+    /// No restriction.
     Clear,
-    /// As any other, but no second attempt runs beside the first.
+    /// Not hedged: no second attempt runs beside the first.
     Watched,
-    /// It runs alone, at the one backend server for it, without a retry.
+    /// Runs in isolation at the backend server selected for it, without a retry.
     Alone,
-    /// It is refused; the time is that until it is let through once.
+    /// Quarantined: refused for the given time, then let through once as a trial.
     HeldBack(Duration),
 }
 
-/// A point in time that may lie before the start of the process, in microseconds since then: others tell of what happened before.
-type Moment = i64;
+/// Microseconds since the start of the process. Negative for crashes that other daemons recorded
+/// at_age it started.
+type Micros = i64;
 
 #[derive(Clone, Copy, Debug)]
-struct End {
-    at: Moment,
+struct Crash {
+    at: Micros,
     id: EndId,
     alone: bool,
 }
@@ -57,143 +59,145 @@
     caller: CallerMark,
     generation: u32,
     wide: bool,
-    changed: Moment,
-    /// In the order of their identifiers.
-    ends: Vec<End>,
+    changed: Micros,
+    /// Sorted by identifier.
+    ends: Vec<Crash>,
 }
 
-/// What a daemon knows of requests that end backend servers.
+/// The suspect requests that a daemon has recorded.
 #[derive(Default)]
 pub struct Suspects {
     entries: HashMap<Fingerprint, Entry>,
 }
 
 impl Suspects {
-    /// Returns what is done with a request.
+    /// Returns how a request is treated.
     pub fn judge(&self, now: Timestamp, request: Fingerprint) -> Verdict {
         let Some(entry) = self.entries.get(&request) else { return Verdict::Clear };
-        if entry.is_over(moment(now)) {
+        if entry.is_expired(micros(now)) {
             return Verdict::Clear;
         }
         match entry.standing() {
             Standing::Clear => Verdict::Clear,
             Standing::Watched => Verdict::Watched,
             Standing::Alone => Verdict::Alone,
-            Standing::HeldBack => match entry.until_trial(moment(now)) {
+            Standing::HeldBack => match entry.until_trial(micros(now)) {
                 Duration::ZERO => Verdict::Alone,
                 left => Verdict::HeldBack(left),
             },
         }
     }
 
-    /// Takes an end that was proved here; returns what others are to be told.
+    /// Records a crash confirmed by this daemon; returns the records to send to other daemons.
     pub fn on_end(&mut self, now: Timestamp, ended: &Ended) -> Vec<(Reach, Record)> {
-        let now = moment(now);
-        let suspects = ended.at_work.iter().filter_map(|sent| self.add_end(now, ended.id, sent));
+        let now = micros(now);
+        let suspects = ended.at_work.iter().filter_map(|sent| self.add_crash(now, ended.id, sent));
         suspects.collect()
     }
 
-    fn add_end(&mut self, now: Moment, id: EndId, sent: &Sent) -> Option<(Reach, Record)> {
+    fn add_crash(&mut self, now: Micros, id: EndId, sent: &Sent) -> Option<(Reach, Record)> {
         let Identity { request, caller } = sent.identity;
-        self.make_room(now, request, caller);
+        self.evict(now, request, caller);
         let entry = self.entries.entry(request).or_insert_with(|| Entry::new(caller, now));
-        if !entry.add(End { at: now, id, alone: sent.alone }) {
+        if !entry.add(Crash { at: now, id, alone: sent.alone }) {
             return None;
         }
         entry.changed = now;
         Some(entry.news(now, request))
     }
 
-    /// Takes the whole answer of a request that was at work here: it ends no backend server. Returns what others are to be told.
+    /// Clears a request that was in flight here and got a complete response, so it crashed no
+    /// backend server. Returns the record to send to other daemons.
     pub fn on_answer(&mut self, now: Timestamp, request: Fingerprint) -> Option<(Reach, Record)> {
-        let now = moment(now);
+        let now = micros(now);
         let entry = self.entries.get_mut(&request).filter(|entry| !entry.ends.is_empty())?;
         entry.clear(now);
         Some(entry.news(now, request))
     }
 
-    /// Clears a request, as an operator wants it; returns what others are to be told.
+    /// Clears a request on behalf of an operator; returns the record to send to other daemons.
     pub fn lift(&mut self, now: Timestamp, request: Fingerprint) -> Option<(Reach, Record)> {
         self.on_answer(now, request)
     }
 
-    /// Takes what another daemon tells; returns whether it is news.
-    pub fn on_word(&mut self, now: Timestamp, word: &Record) -> bool {
-        let now = moment(now);
-        let told = Entry::told(now, word);
-        if told.is_over(now) {
+    /// Merges a record of another daemon; returns whether it changed anything.
+    pub fn on_word(&mut self, now: Timestamp, record: &Record) -> bool {
+        let now = micros(now);
+        let other = Entry::from_record(now, record);
+        if other.is_expired(now) {
             return false;
         }
-        if !self.entries.contains_key(&word.request) {
-            self.make_room(now, word.request, word.caller);
-            self.entries.insert(word.request, told);
+        if !self.entries.contains_key(&record.request) {
+            self.evict(now, record.request, record.caller);
+            self.entries.insert(record.request, other);
             return true;
         }
-        let known = self.entries.get_mut(&word.request);
-        known.is_some_and(|known| known.join(told))
+        let known = self.entries.get_mut(&record.request);
+        known.is_some_and(|known| known.merge(other))
     }
 
-    /// Forgets what is over.
+    /// Removes expired entries.
     pub fn tick(&mut self, now: Timestamp) {
-        let now = moment(now);
-        self.entries.retain(|_, entry| !entry.is_over(now));
+        let now = micros(now);
+        self.entries.retain(|_, entry| !entry.is_expired(now));
     }
 
-    /// Returns a number that stands for all that all daemons are told of. Ages do not count: they differ by the way of a message.
+    /// Returns a digest of all records that are sent to all daemons. Ages are left out, since they
+    /// depend on the path of a message.
     pub fn digest(&self) -> u64 {
         let wide = self.entries.iter().filter(|(_, entry)| entry.wide);
         wide.fold(0, |sum, (request, entry)| sum ^ entry.digest(*request))
     }
 
-    /// Returns whether there is anything that all daemons are told of.
+    /// Returns whether there are records that are sent to all daemons.
     pub fn has_wide(&self) -> bool {
         self.entries.values().any(|entry| entry.wide)
     }
 
-    /// Returns all that all daemons are told of.
+    /// Returns all records that are sent to all daemons.
     pub fn wide(&self, now: Timestamp) -> Vec<Record> {
         let wide = self.entries.iter().filter(|(_, entry)| entry.wide);
-        wide.map(|(request, entry)| entry.record(moment(now), *request)).collect()
+        wide.map(|(request, entry)| entry.record(micros(now), *request)).collect()
     }
 
-    /// Returns the requests whose standing is worse than clear, as operators see them, the worst first.
+    /// Returns the requests with recorded crashes for operators, the worst status first.
     pub fn list(&self, now: Timestamp) -> Vec<Suspect> {
         let known = self.entries.iter().filter(|(_, entry)| !entry.ends.is_empty());
         let mut known: Vec<_> = known.collect();
         known.sort_by_key(|(request, entry)| (std::cmp::Reverse(entry.standing()), **request));
-        known.iter().map(|(request, entry)| entry.listed(moment(now), **request)).collect()
+        known.iter().map(|(request, entry)| entry.to_suspect(micros(now), **request)).collect()
     }
 
-    /// Returns how many requests have a standing.
+    /// Returns the number of requests with a status.
     pub fn count(&self, standing: Standing) -> usize {
         self.entries.values().filter(|entry| entry.standing() == standing).count()
     }
 
-    /// Returns how many requests are known.
+    /// Returns the number of requests in the table.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns whether nothing is known.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Lets go of the weakest entry of the caller that has the most, if the table is full: whoever invents suspects displaces
-    /// his own.
-    fn make_room(&mut self, now: Moment, request: Fingerprint, caller: CallerMark) {
-        if self.entries.len() < ENTRIES_AT_MOST || self.entries.contains_key(&request) {
+    /// Evicts the least important entry of the caller with the most entries, if the table is full.
+    /// A caller that sends many suspect requests evicts only its own.
+    fn evict(&mut self, now: Micros, request: Fingerprint, caller: CallerMark) {
+        if self.entries.len() < MAX_ENTRIES || self.entries.contains_key(&request) {
             return;
         }
-        self.entries.retain(|_, entry| !entry.is_over(now));
-        if self.entries.len() < ENTRIES_AT_MOST {
+        self.entries.retain(|_, entry| !entry.is_expired(now));
+        if self.entries.len() < MAX_ENTRIES {
             return;
         }
-        let mut held: HashMap<CallerMark, usize> = HashMap::from([(caller, 1)]);
+        let mut counts: HashMap<CallerMark, usize> = HashMap::from([(caller, 1)]);
         for entry in self.entries.values() {
-            *held.entry(entry.caller).or_default() += 1;
+            *counts.entry(entry.caller).or_default() += 1;
         }
-        let most = held.into_iter().max_by_key(|(caller, held)| (*held, *caller));
+        let most = counts.into_iter().max_by_key(|(caller, counts)| (*counts, *caller));
         let Some((caller, _)) = most else { return };
         let of_caller = self.entries.iter().filter(|(_, entry)| entry.caller == caller);
         let weakest = of_caller.min_by_key(|(request, entry)| (entry.rank(), **request));
@@ -204,21 +208,21 @@
 }
 
 impl Entry {
-    fn new(caller: CallerMark, now: Moment) -> Entry {
+    fn new(caller: CallerMark, now: Micros) -> Entry {
         Entry { caller, generation: 0, wide: false, changed: now, ends: Vec::new() }
     }
 
-    /// Reads what another daemon tells.
-    fn told(now: Moment, word: &Record) -> Entry {
+    /// Converts a record of another daemon.
+    fn from_record(now: Micros, record: &Record) -> Entry {
         let mut entry = Entry {
-            caller: word.caller,
-            generation: word.generation,
-            wide: word.wide,
-            changed: before(now, word.age_ms),
+            caller: record.caller,
+            generation: record.generation,
+            wide: record.wide,
+            changed: at_age(now, record.age_ms),
             ends: Vec::new(),
         };
-        for end in &word.ends {
-            entry.add(End { at: before(now, end.age_ms), id: end.id, alone: end.alone });
+        for end in &record.ends {
+            entry.add(Crash { at: at_age(now, end.age_ms), id: end.id, alone: end.alone });
         }
         entry
     }
@@ -228,40 +232,40 @@
         match self.ends.len() {
             0 => Standing::Clear,
             1 => Standing::Watched,
-            ends if ends >= HELD_FROM && alone => Standing::HeldBack,
-            ends if ends >= ALONE_FROM => Standing::Alone,
+            ends if ends >= QUARANTINE_FROM_CRASHES && alone => Standing::HeldBack,
+            ends if ends >= ISOLATE_FROM_CRASHES => Standing::Alone,
             _ => Standing::Watched,
         }
     }
 
-    fn last_end(&self) -> Moment {
+    fn last_end(&self) -> Micros {
         self.ends.iter().map(|end| end.at).max().unwrap_or(self.changed)
     }
 
-    /// Returns the time until it is let through once. Each end while it ran alone, but for the one that convicted it, was a trial
-    /// that failed.
-    fn until_trial(&self, now: Moment) -> Duration {
+    /// Returns the time until the next trial. Each crash in isolation after the first was a failed
+    /// trial.
+    fn until_trial(&self, now: Micros) -> Duration {
         let failed = self.ends.iter().filter(|end| end.alone).count().saturating_sub(1);
         let factor = 1_u32.checked_shl(failed as u32).unwrap_or(u32::MAX);
-        let wait = FIRST_TRIAL_AFTER.saturating_mul(factor).min(TRIAL_AFTER_AT_MOST);
-        wait.saturating_sub(between(self.last_end(), now))
+        let wait = FIRST_TRIAL_AFTER.saturating_mul(factor).min(MAX_TRIAL_INTERVAL);
+        wait.saturating_sub(elapsed(self.last_end(), now))
     }
 
-    fn is_over(&self, now: Moment) -> bool {
+    fn is_expired(&self, now: Micros) -> bool {
         let lasts = match self.standing() {
-            Standing::HeldBack => HELD_FOR,
-            _ => SUSPECT_FOR,
+            Standing::HeldBack => QUARANTINE_TTL,
+            _ => SUSPECT_TTL,
         };
-        between(self.last_end().max(self.changed), now) >= lasts
+        elapsed(self.last_end().max(self.changed), now) >= lasts
     }
 
-    /// Adds an end; returns whether it is news. Its time stays that at which it was first heard of: it would creep on with each
-    /// message.
-    fn add(&mut self, end: End) -> bool {
+    /// Adds a crash; returns whether it is new. A known crash keeps the time at which it was first
+    /// recorded, which would otherwise shift with the delay of each message.
+    fn add(&mut self, end: Crash) -> bool {
         let Err(place) = self.ends.binary_search_by_key(&end.id, |known| known.id) else {
             return false;
         };
-        if self.ends.len() >= ENDS_AT_MOST {
+        if self.ends.len() >= MAX_CRASHES {
             let oldest = self.ends.iter().map(|known| known.at).min();
             if oldest.is_some_and(|oldest| end.at <= oldest) {
                 return false;
@@ -271,47 +275,47 @@
             return self.add(end);
         }
         self.ends.insert(place, end);
-        self.wide |= self.ends.len() >= ALONE_FROM;
+        self.wide |= self.ends.len() >= ISOLATE_FROM_CRASHES;
         true
     }
 
-    fn clear(&mut self, now: Moment) {
+    fn clear(&mut self, now: Micros) {
         self.generation = self.generation.saturating_add(1);
         self.ends.clear();
         self.changed = now;
     }
 
-    /// Takes what another daemon knows; returns whether it is news.
-    fn join(&mut self, told: Entry) -> bool {
-        // Also a late word shows that all were told of the request: they have to hear what became of it.
-        let mut news = told.wide && !self.wide;
-        self.wide |= told.wide;
-        if told.generation < self.generation {
+    /// Merges an entry of another daemon; returns whether it changed anything.
+    fn merge(&mut self, other: Entry) -> bool {
+        // An outdated record also shows that it was sent to all daemons, so the newer one has to be.
+        let mut news = other.wide && !self.wide;
+        self.wide |= other.wide;
+        if other.generation < self.generation {
             return news;
         }
-        if told.generation > self.generation {
+        if other.generation > self.generation {
             let wide = self.wide;
-            *self = Entry { wide, ..told };
+            *self = Entry { wide, ..other };
             return true;
         }
-        for end in told.ends {
+        for end in other.ends {
             news |= self.add(end);
         }
         if news {
-            self.changed = self.changed.max(told.changed);
+            self.changed = self.changed.max(other.changed);
         }
         news
     }
 
-    fn news(&self, now: Moment, request: Fingerprint) -> (Reach, Record) {
+    fn news(&self, now: Micros, request: Fingerprint) -> (Reach, Record) {
         let reach = if self.wide { Reach::All } else { Reach::Service };
         (reach, self.record(now, request))
     }
 
-    fn record(&self, now: Moment, request: Fingerprint) -> Record {
+    fn record(&self, now: Micros, request: Fingerprint) -> Record {
         let ends = self.ends.iter().map(|end| SeenEnd {
             id: end.id,
-            age_ms: millis(between(end.at, now)),
+            age_ms: millis(elapsed(end.at, now)),
             alone: end.alone,
         });
         Record {
@@ -319,7 +323,7 @@
             caller: self.caller,
             generation: self.generation,
             wide: self.wide,
-            age_ms: millis(between(self.changed, now)),
+            age_ms: millis(elapsed(self.changed, now)),
             ends: ends.collect(),
         }
     }
@@ -334,7 +338,7 @@
         hasher.finish()
     }
 
-    fn listed(&self, now: Moment, request: Fingerprint) -> Suspect {
+    fn to_suspect(&self, now: Micros, request: Fingerprint) -> Suspect {
         let standing = self.standing();
         let trial = || self.until_trial(now).as_secs();
         Suspect {
@@ -343,27 +347,27 @@
             standing: standing.as_str().into(),
             ends: self.ends.len() as u64,
             ends_alone: self.ends.iter().filter(|end| end.alone).count() as u64,
-            last_end_s: between(self.last_end(), now).as_secs(),
+            last_end_s: elapsed(self.last_end(), now).as_secs(),
             next_trial_s: (standing == Standing::HeldBack).then(trial),
         }
     }
 
-    /// Orders entries by how much is lost with them.
-    fn rank(&self) -> (Standing, usize, Moment) {
+    /// Returns the importance of the entry; the entry with the lowest is evicted first.
+    fn rank(&self) -> (Standing, usize, Micros) {
         (self.standing(), self.ends.len(), self.changed)
     }
 }
 
-fn moment(now: Timestamp) -> Moment {
-    Moment::try_from(now.0).unwrap_or(Moment::MAX)
+fn micros(now: Timestamp) -> Micros {
+    Micros::try_from(now.0).unwrap_or(Micros::MAX)
 }
 
-fn before(now: Moment, age_ms: u64) -> Moment {
-    let age = Moment::try_from(age_ms.saturating_mul(1_000)).unwrap_or(Moment::MAX);
+fn at_age(now: Micros, age_ms: u64) -> Micros {
+    let age = Micros::try_from(age_ms.saturating_mul(1_000)).unwrap_or(Micros::MAX);
     now.saturating_sub(age)
 }
 
-fn between(earlier: Moment, now: Moment) -> Duration {
+fn elapsed(earlier: Micros, now: Micros) -> Duration {
     Duration::from_micros(u64::try_from(now.saturating_sub(earlier)).unwrap_or_default())
 }
 
--- a/crates/cherrystream-core/tests/rollouts/judging.rs
+++ b/crates/cherrystream-core/tests/rollouts/judging.rs
@@ -1,7 +1,7 @@
 //! The verdict on a version: how often a good one is condemned by chance, and how soon a bad one is found.
 
-use cherrystream_core::rollout::judge::{Fault, Judge};
-use cherrystream_core::rollout::tally::{Answer, Counted, Counts};
+use cherrystream_core::rollout::evaluation::{Evaluator, Fault};
+use cherrystream_core::rollout::tally::{Answer, Counts, CountsDelta};
 use cherrystream_core::units::Timestamp;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -27,25 +27,25 @@
     }
 }
 
-fn answers(rng: &mut SmallRng, manner: Manner, count: usize) -> Counted {
+fn answers(rng: &mut SmallRng, manner: Manner, count: usize) -> CountsDelta {
     let kind: Arc<str> = "k".into();
     let mut counts = Counts::default();
     (0..count).for_each(|_| counts.on_answer(&kind, manner.answer(rng)));
-    Counted::since(&counts.by_kind()["k"], None)
+    CountsDelta::since(&counts.by_kind()["k"], None)
 }
 
 /// Plays 400 ms after 400 ms, 5 answers of each of two new backend servers beside 200 of the old ones; returns after how
 /// many answers the new version was condemned.
 fn condemned_after(seed: u64, old: Manner, new: [Manner; 2], rounds: usize) -> Option<u64> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut judge = Judge::default();
+    let mut evaluator = Evaluator::default();
     for round in 0..rounds {
-        judge.pass(Timestamp::default() + Duration::from_millis(400) * round as u32);
-        judge.on_old("k", &answers(&mut rng, old, 200));
+        evaluator.decay(Timestamp::default() + Duration::from_millis(400) * round as u32);
+        evaluator.on_baseline("k", &answers(&mut rng, old, 200));
         for (run, manner) in ["x", "y"].iter().zip(new) {
-            judge.on_new(run, "k", &answers(&mut rng, manner, 5));
+            evaluator.on_canary(run, "k", &answers(&mut rng, manner, 5));
         }
-        if let Some(finding) = judge.finding() {
+        if let Some(finding) = evaluator.finding() {
             return Some(finding.answered);
         }
     }
@@ -80,15 +80,15 @@
 #[test]
 fn what_all_versions_suffer_in_the_same_seconds_condemns_none() {
     let hard = Manner { fails: 0.3, slower: 5.0 };
-    let mut judge = Judge::default();
+    let mut evaluator = Evaluator::default();
     let mut rng = SmallRng::seed_from_u64(1);
     for round in 0..100_u32 {
-        judge.pass(Timestamp::default() + Duration::from_millis(400) * round);
+        evaluator.decay(Timestamp::default() + Duration::from_millis(400) * round);
         let manner = if (40..60).contains(&round) { hard } else { GOOD };
-        judge.on_old("k", &answers(&mut rng, manner, 200));
-        judge.on_new("x", "k", &answers(&mut rng, manner, 5));
-        judge.on_new("y", "k", &answers(&mut rng, manner, 5));
-        assert_eq!(judge.finding(), None, "round {round}");
+        evaluator.on_baseline("k", &answers(&mut rng, manner, 200));
+        evaluator.on_canary("x", "k", &answers(&mut rng, manner, 5));
+        evaluator.on_canary("y", "k", &answers(&mut rng, manner, 5));
+        assert_eq!(evaluator.finding(), None, "round {round}");
     }
 }
 
@@ -101,17 +101,17 @@
 
 #[test]
 fn a_version_that_is_bad_on_one_kind_of_request_only_is_found_there() {
-    let mut judge = Judge::default();
+    let mut evaluator = Evaluator::default();
     let mut rng = SmallRng::seed_from_u64(7);
     let bad = Manner { fails: 0.4, slower: 1.0 };
     for round in 0..20_u32 {
-        judge.pass(Timestamp::default() + Duration::from_millis(400) * round);
+        evaluator.decay(Timestamp::default() + Duration::from_millis(400) * round);
         for (kind, manner) in [("often", GOOD), ("seldom", bad)] {
-            judge.on_old(kind, &answers(&mut rng, GOOD, 100));
-            judge.on_new("x", kind, &answers(&mut rng, manner, 3));
-            judge.on_new("y", kind, &answers(&mut rng, manner, 3));
+            evaluator.on_baseline(kind, &answers(&mut rng, GOOD, 100));
+            evaluator.on_canary("x", kind, &answers(&mut rng, manner, 3));
+            evaluator.on_canary("y", kind, &answers(&mut rng, manner, 3));
         }
     }
-    let finding = judge.finding().expect("it fails four in ten of one kind");
+    let finding = evaluator.finding().expect("it fails four in ten of one kind");
     assert_eq!((finding.kind.as_str(), finding.fault), ("seldom", Fault::Fails));
 }
--- a/crates/cherrystream-core/tests/suspects/table.rs
+++ b/crates/cherrystream-core/tests/suspects/table.rs
@@ -1,7 +1,7 @@
 //! What follows for a request from ends, answers and the words of other daemons.
 
 use super::{ended, identity, ms, sent, take};
-use cherrystream_core::suspects::table::ENTRIES_AT_MOST;
+use cherrystream_core::suspects::table::MAX_ENTRIES;
 use cherrystream_core::suspects::{Fingerprint, Reach, Record, Sent, Suspects, Verdict};
 use std::time::Duration;
 
@@ -164,11 +164,11 @@
 fn a_caller_with_many_suspects_displaces_its_own() {
     let mut table = convicted();
     let invented = (10_u64..).map(|n| Sent { identity: identity(n, 66), alone: false });
-    let invented: Vec<Sent> = invented.take(3 * ENTRIES_AT_MOST).collect();
+    let invented: Vec<Sent> = invented.take(3 * MAX_ENTRIES).collect();
     for (end, at_work) in invented.chunks(12).enumerate() {
         table.on_end(ms(400), &ended(1_000 + end as u64, at_work));
         table.on_end(ms(400), &ended(9_000 + end as u64, at_work));
-        assert!(table.len() <= ENTRIES_AT_MOST);
+        assert!(table.len() <= MAX_ENTRIES);
     }
     assert!(matches!(table.judge(ms(500), DEADLY), Verdict::HeldBack(_)));
 }
@@ -177,8 +177,8 @@
 fn words_of_others_are_bounded_as_own_ends_are() {
     let mut table = convicted();
     let invented = |n| Record { request: Fingerprint(n), ..convicted().wide(ms(400))[0].clone() };
-    for n in 10..(10 + 2 * ENTRIES_AT_MOST as u64) {
+    for n in 10..(10 + 2 * MAX_ENTRIES as u64) {
         table.on_word(ms(400), &invented(n));
     }
-    assert_eq!(table.len(), ENTRIES_AT_MOST);
+    assert_eq!(table.len(), MAX_ENTRIES);
 }
