--- a/crates/cherrystream-core/tests/identity.rs
+++ b/crates/cherrystream-core/tests/identity.rs
@@ -1,4 +1,4 @@
-//! What is taken for the same request when it comes again.
+//! Fingerprints of requests that are sent again.
 
 use cherrystream_core::suspects::identity::{BODY_BYTES, FingerprintKey, Identity, Parts};
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn each_part_counts() {
+fn each_part_changes_the_fingerprint() {
     let others = [
         Parts { workspace: Some("other"), ..PARTS },
         Parts { workspace: None, ..PARTS },
@@ -27,7 +27,7 @@
         Parts { body: b"a bodY", ..PARTS },
         Parts { body_length: Some(7), ..PARTS },
         Parts { body_length: None, ..PARTS },
-        // The same bytes in a row, split elsewhere.
+        // The same bytes, split differently.
         Parts { host: "quotes.example/", target: "work?x=1", ..PARTS },
         Parts { workspace: Some("acmePOST"), method: "", ..PARTS },
     ];
@@ -36,16 +36,16 @@
     }
 }
 
-/// A caller sends from the hosts of any service.
+/// A caller sends the same request from hosts of several services.
 #[test]
-fn the_host_where_a_request_begins_does_not_count() {
+fn the_service_of_the_sending_host_does_not_change_the_fingerprint() {
     let other = Parts { service: Some("quotes"), ..PARTS };
     assert_eq!(identity(&other).request, identity(&PARTS).request);
     assert_ne!(identity(&other).caller, identity(&PARTS).caller);
 }
 
 #[test]
-fn a_caller_has_one_mark_over_all_its_requests() {
+fn a_caller_has_one_fingerprint_for_all_its_requests() {
     let other = Parts { target: "/other", ..PARTS };
     assert_eq!(identity(&other).caller, identity(&PARTS).caller);
     let other = Parts { workspace: Some("other"), ..PARTS };
@@ -53,14 +53,14 @@
 }
 
 #[test]
-fn of_a_long_body_the_beginning_counts_however_much_was_read() {
+fn only_the_beginning_of_a_long_body_is_included() {
     let long = vec![7; BODY_BYTES * 3];
     let read = |bytes| Parts { body: &long[..bytes], body_length: Some(9_000), ..PARTS };
     assert_eq!(identity(&read(BODY_BYTES)), identity(&read(BODY_BYTES * 3)));
 }
 
 #[test]
-fn without_the_key_no_fingerprint_can_be_made() {
+fn another_key_gives_another_fingerprint() {
     let other = PARTS.identity(&FingerprintKey::new(Some("another key")));
     assert_ne!(other.request, identity(&PARTS).request);
 }
--- a/crates/cherrystream-core/tests/instances.rs
+++ b/crates/cherrystream-core/tests/instances.rs
@@ -1,4 +1,4 @@
-//! Instances: an instance that said that it leaves takes no new work again, whoever heard it.
+//! Instances: one that has reported that it leaves never gets new requests again.
 
 use arbtest::arbtest;
 use cherrystream_core::instances::{self, InstanceReport, Keeper, Verdict};
@@ -21,10 +21,10 @@
     InstanceReport::Runs(instance(id, state, sequence))
 }
 
-/// The log's side: registers what a keeper wants, and tells it.
+/// Registers the pending instance of a keeper in the log and confirms it.
 fn settle(keeper: &mut Keeper, log: &mut Option<InstanceRecord>) {
-    if let Some(word) = keeper.wanted().cloned()
-        && let Some(record) = instances::register(log.as_ref(), &word)
+    if let Some(report) = keeper.wanted().cloned()
+        && let Some(record) = instances::register(log.as_ref(), &report)
     {
         *log = Some(record);
     }
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn nothing_is_acknowledged_before_it_is_known_what_was() {
+fn no_report_is_acknowledged_before_control_confirms_the_registration() {
     let mut keeper = Keeper::default();
     assert_eq!(keeper.on_report(runs("a", ServerState::Live, 1)), Verdict::NotYet);
     assert_eq!(keeper.current(), None);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_restarted_daemon_keeps_a_leaving_instance_out() {
+fn a_restarted_daemon_does_not_revive_a_leaving_instance() {
     let mut log = None;
     let mut keeper = Keeper::default();
     keeper.on_registered(None);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn an_ended_instance_does_not_come_back_by_a_late_report() {
+fn a_late_report_does_not_revive_a_stopped_instance() {
     let mut log = None;
     let mut keeper = Keeper::default();
     keeper.on_registered(None);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_end_of_an_unknown_instance_holds_against_its_late_report() {
+fn a_late_report_does_not_register_an_unknown_stopped_instance() {
     let mut keeper = Keeper::default();
     keeper.on_registered(None);
     let ends = InstanceReport::Ends { id: "a".into(), born_ms: None };
@@ -88,24 +88,24 @@
     Instance { born_ms, ..instance(id, state, sequence) }
 }
 
-fn settled(words: &[Instance]) -> (Keeper, Option<InstanceRecord>) {
+fn settled(reports: &[Instance]) -> (Keeper, Option<InstanceRecord>) {
     let mut keeper = Keeper::default();
     keeper.on_registered(None);
     let mut log = None;
-    for word in words {
-        keeper.on_report(InstanceReport::Runs(word.clone()));
+    for report in reports {
+        keeper.on_report(InstanceReport::Runs(report.clone()));
         settle(&mut keeper, &mut log);
     }
     (keeper, log)
 }
 
 #[test]
-fn a_later_start_under_the_same_identifier_begins_anew() {
+fn a_restart_under_the_same_identifier_replaces_the_earlier_instance() {
     let ended = born("a", ServerState::Down, 9, 100);
     let again = born("a", ServerState::Live, 1, 101);
     let (mut keeper, mut log) = settled(&[ended, again.clone()]);
     assert_eq!(log.as_ref().map(|record| &record.instance), Some(&again));
-    // What the earlier run says late changes nothing, whatever its sequence.
+    // Late reports of the earlier instance change nothing, whatever their sequence.
     let late = InstanceReport::Runs(born("a", ServerState::Draining, 99, 100));
     assert_eq!(keeper.on_report(late), Verdict::Acknowledge);
     let ends = InstanceReport::Ends { id: "a".into(), born_ms: Some(100) };
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_late_word_changes_nothing_before_the_new_run_is_registered() {
+fn a_late_report_does_not_replace_a_pending_restart() {
     let (mut keeper, _) = settled(&[born("a", ServerState::Live, 9, 100)]);
     let again = born("a", ServerState::Live, 1, 101);
     assert_eq!(keeper.on_report(InstanceReport::Runs(again.clone())), Verdict::AwaitRegistration);
@@ -125,13 +125,13 @@
 }
 
 #[test]
-fn a_retired_identifier_comes_back_with_a_later_start_only() {
+fn a_retired_identifier_is_registered_again_only_after_a_restart() {
     let first = born("a", ServerState::Live, 9, 100);
     let (_, log) = settled(&[first.clone(), born("b", ServerState::Live, 1, 200)]);
     let record = log.unwrap();
     assert_eq!(instances::register(Some(&record), &first), None);
-    let untold = instance("a", ServerState::Live, 10);
-    assert_eq!(instances::register(Some(&record), &untold), None);
+    let unborn = instance("a", ServerState::Live, 10);
+    assert_eq!(instances::register(Some(&record), &unborn), None);
     let again = born("a", ServerState::Live, 1, 150);
     let after = instances::register(Some(&record), &again).unwrap();
     assert_eq!((after.instance, after.retired), (again, vec!["b".to_string()]));
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_run_is_new_where_only_an_earlier_one_was_registered() {
+fn a_restarted_instance_is_new_to_a_restarted_daemon() {
     let (_, log) = settled(&[born("a", ServerState::Live, 9, 100)]);
     let mut restarted = Keeper::default();
     restarted.on_registered(log.as_ref());
@@ -147,9 +147,9 @@
     assert!(restarted.is_new(&born("a", ServerState::Live, 1, 101)));
 }
 
-/// No order of words, restarts of the daemon and lost registrations brings an earlier run back.
+/// No order of reports, daemon restarts and lost registrations restores an earlier instance.
 #[test]
-fn of_runs_under_one_identifier_only_the_latest_holds() {
+fn only_the_latest_start_of_an_identifier_stays_registered() {
     arbtest(|u| {
         let mut log: Option<InstanceRecord> = None;
         let mut keeper = Keeper::default();
@@ -172,16 +172,16 @@
                 settle(&mut keeper, &mut log);
             }
             let held = log.as_ref().map_or(0, |record| record.instance.born_ms);
-            assert!(held >= latest, "run {held} holds after run {latest}");
+            assert!(held >= latest, "start {held} is registered after start {latest}");
             latest = held;
         }
         Ok(())
     });
 }
 
-/// Reports in any order, lost and restarted daemons, a log that lags: what was acknowledged holds.
+/// Acknowledged reports hold despite reordering, restarts of the daemon and a lagging log.
 #[test]
-fn what_was_acknowledged_holds_on_random_schedules() {
+fn acknowledged_reports_hold_on_random_schedules() {
     arbtest(|u| {
         let mut log: Option<InstanceRecord> = None;
         let mut keeper = Keeper::default();
@@ -215,17 +215,17 @@
             }
             if let Some(current) = keeper.current() {
                 let back = current.state == ServerState::Live && left.contains(&current.id);
-                assert!(!back, "{current:?} is back after it left");
+                assert!(!back, "{current:?} is live again after it left");
             }
         }
         Ok(())
     });
 }
 
-/// A run that ended before its first report was heard of tells that it ends. The one before it is gone as well: its
-/// server is the same.
+/// An instance stops before its first report. The previous one has stopped as well, since both
+/// are the same server.
 #[test]
-fn the_end_of_a_later_run_ends_the_one_that_is_known() {
+fn the_stop_of_a_later_start_stops_the_known_instance() {
     let mut log = None;
     let mut keeper = Keeper::default();
     keeper.on_registered(None);
@@ -238,7 +238,11 @@
     assert_eq!(keeper.current().unwrap().state, ServerState::Down);
     keeper.on_report(InstanceReport::Runs(born(200)));
     settle(&mut keeper, &mut log);
-    assert_eq!(keeper.current().unwrap().state, ServerState::Down, "what has ended stays so");
+    assert_eq!(
+        keeper.current().unwrap().state,
+        ServerState::Down,
+        "a stopped instance stays stopped"
+    );
     keeper.on_report(InstanceReport::Runs(born(300)));
     settle(&mut keeper, &mut log);
     assert_eq!(keeper.current().unwrap().state, ServerState::Live);
--- a/crates/cherrystream-core/tests/rollouts/main.rs
+++ b/crates/cherrystream-core/tests/rollouts/main.rs
@@ -1,7 +1,7 @@
-//! Roll-outs: orders and steps in the replicated state, the verdict on a version, and whole roll-outs played without a
-//! network.
+//! Roll-outs: start requests and steps in the replicated state, evaluation of a canary, and
+//! simulated roll-outs without a network.
 
-mod judging;
-mod orders;
+mod evaluation;
 mod plays;
+mod state;
 mod world;
--- a/crates/cherrystream-core/tests/rollouts/orders.rs
+++ b/crates/cherrystream-core/tests/rollouts/state.rs
@@ -1,4 +1,4 @@
-//! Orders and steps of roll-outs in the replicated state.
+//! Start requests and steps of roll-outs in the replicated state.
 
 use arbtest::arbtest;
 use cherrystream_core::plan;
@@ -107,23 +107,23 @@
 }
 
 #[test]
-fn an_order_that_comes_again_changes_nothing() {
+fn a_repeated_start_request_changes_nothing() {
     let mut log = two_versions();
     log.start("v2", 1_000);
     let revision = log.state.revision();
     log.start("v2", 2_000);
     assert_eq!(log.state.revision(), revision);
     log.step(RolloutStage::RolledBack, 0);
-    // Its acknowledgement was lost, and it was rolled back meanwhile.
+    // A retry after a lost acknowledgement; the roll-out was rolled back meanwhile.
     log.start("v2", 3_000);
     assert_eq!(log.stage(), RolloutStage::RolledBack);
-    // Much later it is meant anew.
+    // A much later request starts a new roll-out.
     log.start("v2", 60_000);
     assert_eq!(log.stage(), RolloutStage::Trying);
 }
 
 #[test]
-fn another_order_is_refused_while_one_is_under_way() {
+fn a_start_request_is_refused_while_another_roll_out_is_in_progress() {
     let mut log = two_versions();
     log.start("v2", 1_000);
     let refused = plan::outline(log.state.shared(), &start("v3", 2_000)).unwrap_err();
@@ -134,20 +134,20 @@
 }
 
 #[test]
-fn bad_orders_tell_their_remedy() {
+fn invalid_requests_are_refused_with_a_remedy() {
     let log = two_versions();
     let shared = log.state.shared();
-    let order = |service: &str, version: &str, within_ms| Intent::StartRollout {
+    let request = |service: &str, version: &str, within_ms| Intent::StartRollout {
         service: service.into(),
         version: version.into(),
         within_ms,
         at_ms: 0,
     };
     for (intent, status) in [
-        (order("nowhere", "v2", WITHIN_MS), 404),
-        (order("s", "", WITHIN_MS), 400),
-        (order("s", "v2", 0), 400),
-        (order("s", "v2", u64::MAX), 400),
+        (request("nowhere", "v2", WITHIN_MS), 404),
+        (request("s", "", WITHIN_MS), 400),
+        (request("s", "v2", 0), 400),
+        (request("s", "v2", u64::MAX), 400),
         (Intent::StopRollout { service: "s".into() }, 404),
     ] {
         let refused = plan::outline(shared, &intent).unwrap_err();
@@ -157,11 +157,11 @@
 }
 
 #[test]
-fn a_roll_out_that_waited_for_its_confirmation_begins_with_it() {
+fn a_confirmed_plan_starts_the_roll_out_at_its_confirmation() {
     let mut log = two_versions();
     log.start("v2", 1_000);
     log.step(RolloutStage::RolledBack, 0);
-    // As the command line states it: the time is control's.
+    // The command line sends no time; control sets it.
     let stated = start("v2", 0);
     assert!(plan::outline(log.state.shared(), &plan::as_of(&stated, 5_000)).is_err(), "too soon");
     assert!(plan::outline(log.state.shared(), &plan::as_of(&stated, 60_000)).is_ok());
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_plan_tells_what_will_be_done_and_what_is_missing() {
+fn a_plan_lists_its_steps_and_warns_of_a_missing_version() {
     let log = two_versions();
     let outline = plan::outline(log.state.shared(), &start("v2", 0)).unwrap();
     assert!(outline.steps[0].contains("1 of its backend servers run, beside 2"), "{outline:?}");
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_version_that_was_rolled_back_gets_nothing_until_it_is_rolled_out_anew() {
+fn a_version_rolled_back_gets_no_requests_until_a_new_roll_out() {
     let mut log = two_versions();
     log.start("v2", 1_000);
     log.step(RolloutStage::RolledBack, 0);
@@ -201,7 +201,7 @@
     log.report("d", "v2", 1);
     log.report("e", "v3", 1);
     log.start("v3", 60_000);
-    assert_eq!(log.part("v2"), Part::Closed, "another roll-out does not bring it back");
+    assert_eq!(log.part("v2"), Part::Closed, "another roll-out does not restore it");
     log.step(RolloutStage::Completed, 1_000);
     assert_eq!(log.part("v2"), Part::Closed);
     assert_eq!(log.part("v3"), Part::Any);
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn old_versions_get_nothing_from_the_move_on_until_they_are_started_anew() {
+fn old_versions_get_no_requests_after_the_move_until_restarted() {
     let mut log = two_versions();
     log.start("v2", 1_000);
     log.step(RolloutStage::Trying, 20);
@@ -218,17 +218,17 @@
     log.step(RolloutStage::Moving, 1_000);
     assert_eq!(log.part("v1"), Part::Closed);
     log.step(RolloutStage::Trying, 20);
-    assert_eq!(log.stage(), RolloutStage::Moving, "no step leads back");
+    assert_eq!(log.stage(), RolloutStage::Moving, "no step leads back to trying");
     log.step(RolloutStage::Completed, 1_000);
     assert_eq!(log.part("v1"), Part::Closed);
     log.report("a", "v1", 2);
-    assert_eq!(log.part("v1"), Part::Any, "somebody wants it back");
+    assert_eq!(log.part("v1"), Part::Any, "the old version was started again");
 }
 
-/// Orders, steps, stops and runs cross, and replicas start from snapshots. What was decided stays decided, and what was
-/// rolled back gets nothing until a roll-out of it is started.
+/// Random order of requests, steps, stops, new instances and restores from snapshots: a finished
+/// roll-out stays finished, and a version rolled back gets no requests until a new roll-out of it.
 #[test]
-fn what_was_decided_stays_whatever_crosses_it() {
+fn a_finished_roll_out_stays_finished() {
     arbtest(|u| {
         let versions = ["v1", "v2", "v3"];
         let mut log = two_versions();
@@ -237,8 +237,8 @@
             now_ms += u.int_in_range(1..=20_000_u64)?;
             let version = *u.choose(&versions)?;
             let before = log.state.shared().config.rollouts.get("s").cloned();
-            let may_start = u.int_in_range(0..=4)?;
-            match may_start {
+            let action = u.int_in_range(0..=4)?;
+            match action {
                 0 => log.start(version, now_ms),
                 1 if before.is_some() => {
                     let stage = *u.choose(&[
@@ -261,12 +261,12 @@
             let Some(before) = before else { continue };
             let after = &log.state.shared().config.rollouts["s"];
             if after.started_at_ms == before.started_at_ms && !rollout::is_under_way(&before) {
-                assert_eq!(after.stage, before.stage, "decided is decided");
+                assert_eq!(after.stage, before.stage, "a finished roll-out keeps its stage");
             }
             for version in versions {
                 let held_back = rollout::is_held_back(Some(&before), version);
-                let begun = may_start == 0 && after.version == version;
-                if held_back && !begun {
+                let restarted = action == 0 && after.version == version;
+                if held_back && !restarted {
                     assert!(rollout::is_held_back(Some(after), version), "{version}");
                 }
             }
--- a/crates/cherrystream-core/tests/rollouts/world.rs
+++ b/crates/cherrystream-core/tests/rollouts/world.rs
@@ -1,5 +1,5 @@
-//! A service with two versions, its daemons and a leader, without a network: requests are drawn, answers counted at the
-//! doors, counts and steps travel late, and leaders change.
+//! Simulation of a roll-out without a network: a service with two versions, its daemons, and a
+//! leader of control. Counts and steps are delayed, and leaders change.
 
 use cherrystream_core::rollout::conductor::{Conductor, Limits, Moment};
 use cherrystream_core::rollout::guard::{Guard, Word};
@@ -18,57 +18,57 @@
 
 const TICK: Duration = Duration::from_millis(10);
 const HEARTBEAT: Duration = Duration::from_millis(400);
-const LOOK: Duration = Duration::from_millis(100);
-/// Time until a step is committed, and held by the last daemon: changes are told together every 200 ms.
-const STEP_TAKES: Duration = Duration::from_millis(350);
-const WORD_HOLDS: Duration = Duration::from_secs(2);
-const WORK: f64 = 0.15;
+const CONTROL_INTERVAL: Duration = Duration::from_millis(100);
+/// Time until a step is committed and received by the last daemon.
+const STEP_DELAY: Duration = Duration::from_millis(350);
+const LEASE_TIME: Duration = Duration::from_secs(2);
+const SERVICE_TIME_S: f64 = 0.15;
 
-/// How the new version answers.
+/// Behaviour of the canary.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Version {
-    /// Share of its answers that fail.
+    /// Share of responses that fail.
     pub fails: f64,
-    /// Times as long as the old ones.
+    /// Service time relative to the old version.
     pub slower: f64,
-    /// Second from which it is so; it is like the old ones before.
+    /// Second from which it differs from the old version.
     pub from_s: f64,
-    /// Requests at work at one backend server from which it is so.
+    /// Requests in flight at a backend server from which it differs.
     pub from_load: usize,
 }
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
-pub struct Play {
+pub struct Simulation {
     pub version: Version,
     pub per_second: f64,
     pub within: Duration,
     pub servers: usize,
-    /// Time without a leader.
+    /// Interval without a leader.
     pub leaderless: Option<(Duration, Duration)>,
     pub seed: u64,
 }
 
-/// What became of it.
+/// Result of a simulation.
 #[derive(Debug)]
 pub struct Outcome {
     /// Stage at the deadline.
     pub stage: RolloutStage,
-    /// What decided, for whoever reads a failure.
+    /// Reason of the last step, for failure messages.
     #[allow(dead_code)]
     pub reason: String,
-    /// Requests that the version got until the deadline.
+    /// Requests sent to the canary until the deadline.
     pub exposed: u64,
-    /// Requests until the deadline.
+    /// Requests to all versions until the deadline.
     pub all: u64,
-    /// Longest time between its 50th bad answer and a request that it got.
+    /// Longest time between the 50th bad response of the canary and a request to it.
     pub late: Duration,
-    /// Requests at work at old backend servers when it was completed.
+    /// Requests in flight at old backend servers at completion.
     pub cut_off: usize,
 }
 
 impl Outcome {
-    /// Returns whether a version that is bad got no more than is stated.
+    /// Returns whether the requests to the canary stayed within the limits.
     pub fn is_within(&self, limits: Limits) -> bool {
         self.exposed as f64 <= limits.share * self.all as f64 + limits.slack
     }
@@ -76,41 +76,41 @@
 
 struct Server {
     host: String,
-    is_new: bool,
+    is_canary: bool,
     guard: Guard,
     counts: Counts,
     at_work: Vec<(Timestamp, Timestamp, bool)>,
 }
 
 struct World {
-    play: Play,
+    simulation: Simulation,
     rng: SmallRng,
     now: Timestamp,
     servers: Vec<Server>,
-    log: Shared,
-    /// States on their way to the daemons.
-    travelling: VecDeque<(Timestamp, Shared)>,
+    committed: Shared,
+    /// States in transit to the daemons.
+    in_transit: VecDeque<(Timestamp, Shared)>,
     held: Shared,
-    word: Word,
+    lease: Word,
     conductor: Conductor,
-    led: bool,
+    was_leading: bool,
     pending: Vec<(Timestamp, Change)>,
     exposed: u64,
     all: u64,
     bad: u64,
-    fiftieth: Option<Timestamp>,
+    fiftieth_bad_at: Option<Timestamp>,
     late: Duration,
     cut_off: Option<usize>,
 }
 
-/// Plays a roll-out until its deadline.
-pub fn play(play: Play) -> Outcome {
-    let mut world = World::new(play);
-    let end = Timestamp::default() + play.within;
+/// Simulates a roll-out until its deadline.
+pub fn simulate(simulation: Simulation) -> Outcome {
+    let mut world = World::new(simulation);
+    let end = Timestamp::default() + simulation.within;
     while world.now < end {
         world.tick();
     }
-    let rollout = &world.log.config.rollouts["s"];
+    let rollout = &world.committed.config.rollouts["s"];
     Outcome {
         stage: rollout.stage,
         reason: rollout.reason.clone(),
@@ -122,12 +122,12 @@
 }
 
 impl World {
-    fn new(play: Play) -> World {
-        let mut log = shared::empty();
+    fn new(simulation: Simulation) -> World {
+        let mut committed = shared::empty();
         let mut servers = Vec::new();
-        for i in 0..2 * play.servers {
-            let is_new = i >= play.servers;
-            let version = if is_new { "v2" } else { "v1" };
+        for i in 0..2 * simulation.servers {
+            let is_canary = i >= simulation.servers;
+            let version = if is_canary { "v2" } else { "v1" };
             let host = format!("h{i}");
             let instance = Instance {
                 id: host.clone(),
@@ -139,33 +139,33 @@
                 born_ms: 0,
                 version: version.into(),
             };
-            shared::apply(&mut log, &Change::PutInstance { host: host.clone(), instance });
+            shared::apply(&mut committed, &Change::PutInstance { host: host.clone(), instance });
             let (guard, counts) = (Guard::default(), Counts::default());
-            servers.push(Server { host, is_new, guard, counts, at_work: Vec::new() });
+            servers.push(Server { host, is_canary, guard, counts, at_work: Vec::new() });
         }
         let intent = Intent::StartRollout {
             service: "s".into(),
             version: "v2".into(),
-            within_ms: play.within.as_millis() as u64,
+            within_ms: simulation.within.as_millis() as u64,
             at_ms: 0,
         };
-        shared::apply(&mut log, &Change::Operator { intent });
+        shared::apply(&mut committed, &Change::Operator { intent });
         World {
-            play,
-            rng: SmallRng::seed_from_u64(play.seed),
+            simulation,
+            rng: SmallRng::seed_from_u64(simulation.seed),
             now: Timestamp::default(),
             servers,
-            held: log.clone(),
-            log,
-            travelling: VecDeque::new(),
-            word: Word::default(),
+            held: committed.clone(),
+            committed,
+            in_transit: VecDeque::new(),
+            lease: Word::default(),
             conductor: Conductor::new(Limits::default()),
-            led: true,
+            was_leading: true,
             pending: Vec::new(),
             exposed: 0,
             all: 0,
             bad: 0,
-            fiftieth: None,
+            fiftieth_bad_at: None,
             late: Duration::ZERO,
             cut_off: None,
         }
@@ -175,7 +175,7 @@
         self.now = self.now + TICK;
         self.deliver();
         self.answer();
-        let per_tick = self.play.per_second * TICK.as_secs_f64();
+        let per_tick = self.simulation.per_second * TICK.as_secs_f64();
         let due =
             per_tick.floor() as usize + usize::from(self.rng.random::<f64>() < per_tick.fract());
         (0..due).for_each(|_| self.request());
@@ -188,10 +188,10 @@
 
     fn has_leader(&self) -> bool {
         let at = self.now.since(Timestamp::default());
-        self.play.leaderless.is_none_or(|(from, to)| at < from || at > to)
+        self.simulation.leaderless.is_none_or(|(from, to)| at < from || at > to)
     }
 
-    /// Steps reach the log, and the daemons after that.
+    /// Commits pending steps and delivers committed states to the daemons.
     fn deliver(&mut self) {
         let now = self.now;
         let (due, later) =
@@ -199,23 +199,23 @@
         self.pending = later;
         let due: Vec<(Timestamp, Change)> = due;
         for (_, change) in due {
-            let was = self.log.config.rollouts["s"].stage;
-            shared::apply(&mut self.log, &change);
+            let was = self.committed.config.rollouts["s"].stage;
+            shared::apply(&mut self.committed, &change);
             if was != RolloutStage::Completed
-                && self.log.config.rollouts["s"].stage == RolloutStage::Completed
+                && self.committed.config.rollouts["s"].stage == RolloutStage::Completed
             {
-                let old = self.servers.iter().filter(|server| !server.is_new);
+                let old = self.servers.iter().filter(|server| !server.is_canary);
                 self.cut_off = Some(old.map(|server| server.at_work.len()).sum());
             }
-            self.travelling.push_back((now + STEP_TAKES / 2, self.log.clone()));
+            self.in_transit.push_back((now + STEP_DELAY / 2, self.committed.clone()));
         }
-        while self.travelling.front().is_some_and(|(at, _)| *at <= now) {
-            if let Some((_, held)) = self.travelling.pop_front() {
+        while self.in_transit.front().is_some_and(|(at, _)| *at <= now) {
+            if let Some((_, held)) = self.in_transit.pop_front() {
                 self.held = held;
             }
         }
         if self.has_leader() {
-            self.word.hear(now + WORD_HOLDS);
+            self.lease.hear(now + LEASE_TIME);
         }
     }
 
@@ -230,38 +230,38 @@
                 let took = ends.since(began);
                 server.counts.on_answer(&kind, Answer { failed, took: Some(took) });
                 server.guard.on_answer(now, failed);
-                if server.is_new && (failed || took.as_secs_f64() > 2.0 * WORK) {
+                if server.is_canary && (failed || took.as_secs_f64() > 2.0 * SERVICE_TIME_S) {
                     self.bad += 1;
                     if self.bad == 50 {
-                        self.fiftieth = Some(now);
+                        self.fiftieth_bad_at = Some(now);
                     }
                 }
             }
         }
     }
 
-    /// A caller's request: drawn for the version under trial or not, and let in by a door or not.
+    /// Sends a request to the canary or the old version, as outbound and inbound decide.
     fn request(&mut self) {
         self.all += 1;
         let rollout = self.held.config.rollouts["s"].clone();
-        let to_new = match rollout::part(Some(&rollout), "v2") {
+        let to_canary = match rollout::part(Some(&rollout), "v2") {
             Part::Trial { exposure_milli } => {
                 self.rng.random::<f64>() < f64::from(exposure_milli) / 1_000.0
             }
             Part::Any => true,
             Part::Closed => false,
         };
-        let servers = self.play.servers;
-        if to_new {
-            let tried = match rollout.stage {
+        let servers = self.simulation.servers;
+        if to_canary {
+            let offered = match rollout.stage {
                 RolloutStage::Trying => {
                     let share = f64::from(rollout.exposure_milli) / 1_000.0;
                     ((share * servers as f64).ceil() as usize).clamp(2.min(servers), servers)
                 }
                 _ => servers,
             };
-            let chosen = servers + self.rng.random_range(0..tried);
-            if self.lets_in(chosen, &rollout) {
+            let chosen = servers + self.rng.random_range(0..offered);
+            if self.admits(chosen, &rollout) {
                 return self.run(chosen);
             }
             if rollout.stage != RolloutStage::Trying {
@@ -272,50 +272,50 @@
         self.run(chosen);
     }
 
-    fn lets_in(&self, server: usize, rollout: &cherrystream_schema::messages::Rollout) -> bool {
+    fn admits(&self, server: usize, rollout: &cherrystream_schema::messages::Rollout) -> bool {
         let trying = rollout.stage == RolloutStage::Trying;
-        let vouched = !trying || self.word.holds(self.now);
-        vouched && !self.servers[server].guard.is_stopped(self.now)
+        let is_leased = !trying || self.lease.holds(self.now);
+        is_leased && !self.servers[server].guard.is_stopped(self.now)
     }
 
     fn run(&mut self, server: usize) {
-        let Version { fails, slower, from_s, from_load } = self.play.version;
+        let Version { fails, slower, from_s, from_load } = self.simulation.version;
         let at = self.now.since(Timestamp::default()).as_secs_f64();
         let server = &mut self.servers[server];
-        let is_bad = server.is_new && at >= from_s && server.at_work.len() >= from_load;
+        let is_bad = server.is_canary && at >= from_s && server.at_work.len() >= from_load;
         let (fails, slower) = if is_bad { (fails, slower) } else { (0.002, 1.0) };
-        let spread: f64 = (0..12).map(|_| self.rng.random::<f64>()).sum::<f64>() - 6.0;
-        let took = Duration::from_secs_f64(WORK * (0.3 * spread).exp() * slower);
+        let deviation: f64 = (0..12).map(|_| self.rng.random::<f64>()).sum::<f64>() - 6.0;
+        let took = Duration::from_secs_f64(SERVICE_TIME_S * (0.3 * deviation).exp() * slower);
         let failed = self.rng.random::<f64>() < fails;
         server.at_work.push((self.now, self.now + took, failed));
-        if server.is_new {
+        if server.is_canary {
             self.exposed += 1;
-            if let Some(fiftieth) = self.fiftieth {
-                self.late = self.late.max(self.now.since(fiftieth));
+            if let Some(fiftieth_bad_at) = self.fiftieth_bad_at {
+                self.late = self.late.max(self.now.since(fiftieth_bad_at));
             }
         }
     }
 
     fn lead(&mut self) {
         if !self.has_leader() {
-            self.led = false;
+            self.was_leading = false;
             return;
         }
-        if !std::mem::replace(&mut self.led, true) {
-            // The new leader follows the log, and hears all counts anew.
+        if !std::mem::replace(&mut self.was_leading, true) {
+            // The new leader follows the log and receives all counts again.
             self.conductor = Conductor::new(Limits::default());
         }
-        if self.is_every(LOOK) {
+        if self.is_every(CONTROL_INTERVAL) {
             let unix_ms = self.now.since(Timestamp::default()).as_millis() as u64;
-            let due = self.conductor.decide(Moment { now: self.now, unix_ms }, &self.log);
-            let at = self.now + STEP_TAKES / 2;
+            let due = self.conductor.decide(Moment { now: self.now, unix_ms }, &self.committed);
+            let at = self.now + STEP_DELAY / 2;
             self.pending.extend(due.into_iter().map(|change| (at, change)));
         }
-        self.tell_counts();
+        self.send_counts();
     }
 
-    /// Each daemon tells its counts with its heartbeat, at a moment of its own.
-    fn tell_counts(&mut self) {
+    /// Sends the counts of each daemon with its heartbeat, at staggered times.
+    fn send_counts(&mut self) {
         let ticks = (HEARTBEAT.as_millis() / TICK.as_millis()) as usize;
         let tick = (self.now.since(Timestamp::default()).as_millis() / TICK.as_millis()) as usize;
         for (i, server) in self.servers.iter().enumerate() {
@@ -324,16 +324,16 @@
             }
             let tally = VersionTally {
                 service: "s".into(),
-                version: if server.is_new { "v2" } else { "v1" }.into(),
+                version: if server.is_canary { "v2" } else { "v1" }.into(),
                 run: server.host.clone(),
                 started_at_ms: 0,
                 at_work: server.at_work.len() as u32,
                 kinds: server.counts.by_kind(),
             };
-            let word = HostTally { host: server.host.clone(), incarnation: 1, tally };
-            self.conductor.on_tally(self.now, &word);
-            // A word that comes twice counts once.
-            self.conductor.on_tally(self.now, &word);
+            let report = HostTally { host: server.host.clone(), incarnation: 1, tally };
+            self.conductor.on_tally(self.now, &report);
+            // A repeated report counts once.
+            self.conductor.on_tally(self.now, &report);
         }
     }
 }
--- a/crates/cherrystream-core/tests/sessions.rs
+++ b/crates/cherrystream-core/tests/sessions.rs
@@ -224,15 +224,15 @@
             Ok(outline) => s.event(what, outline),
         }
     };
-    state("to stop where there is none", stop());
-    state("without a time", start("v2", 0, 1_000));
-    state("a version", start("v2", 12_000, 1_000));
-    state("it once more", start("v2", 12_000, 2_000));
-    state("another one meanwhile", start("v3", 12_000, 3_000));
-    state("to stop it", stop());
-    state("the same words soon after", start("v2", 12_000, 4_000));
-    state("a version that nobody has started", start("v3", 12_000, 60_000));
-    s.event("what is left", &held.config.rollouts);
+    state("stop without a roll-out", stop());
+    state("start without a time", start("v2", 0, 1_000));
+    state("start", start("v2", 12_000, 1_000));
+    state("the same start again", start("v2", 12_000, 2_000));
+    state("another version meanwhile", start("v3", 12_000, 3_000));
+    state("stop", stop());
+    state("the same start soon after", start("v2", 12_000, 4_000));
+    state("a version without instances", start("v3", 12_000, 60_000));
+    s.event("roll-outs at the end", &held.config.rollouts);
     insta::assert_snapshot!(s.0);
 }
 
--- a/crates/cherrystream-core/tests/suspects/main.rs
+++ b/crates/cherrystream-core/tests/suspects/main.rs
@@ -1,6 +1,6 @@
-//! Requests that end backend servers: the evidence at a door, and what follows for a request.
+//! Suspect requests: detection of crashes and treatment of the requests in flight.
 
-mod ends;
+mod crashes;
 mod ring;
 mod table;
 mod world;
@@ -26,9 +26,9 @@
     Ended { id: EndId(id), at_work: at_work.to_vec() }
 }
 
-/// Takes the words of another daemon, news or not.
-fn take(table: &mut Suspects, now: Timestamp, words: &[Record]) {
-    for word in words {
-        table.on_word(now, word);
+/// Merges the records of another daemon.
+fn merge(table: &mut Suspects, now: Timestamp, records: &[Record]) {
+    for record in records {
+        table.on_word(now, record);
     }
 }
--- a/crates/cherrystream-core/tests/suspects/ring.rs
+++ b/crates/cherrystream-core/tests/suspects/ring.rs
@@ -1,4 +1,4 @@
-//! How news spreads over a fleet.
+//! Dissemination of records over a fleet.
 
 use cherrystream_core::suspects::ring;
 use std::collections::BTreeMap;
@@ -7,17 +7,18 @@
     (0..count).map(|n| format!("sidecar-domain-{}-{n}", n % 7)).collect()
 }
 
-/// Returns in how many steps each host that is up hears of what the first one tells, and the messages sent.
-fn spread(hosts: &[String], is_up: impl Fn(&str) -> bool) -> (BTreeMap<&str, u32>, usize) {
-    let mut heard = BTreeMap::from([(hosts[0].as_str(), 0)]);
-    let (mut telling, mut messages) = (vec![hosts[0].as_str()], 0);
+/// Returns the step in which each host that is up receives a record of the first host, and the
+/// number of messages.
+fn disseminate(hosts: &[String], is_up: impl Fn(&str) -> bool) -> (BTreeMap<&str, u32>, usize) {
+    let mut received = BTreeMap::from([(hosts[0].as_str(), 0)]);
+    let (mut senders, mut messages) = (vec![hosts[0].as_str()], 0);
     for step in 1.. {
         let mut next = Vec::new();
-        for from in telling {
+        for from in senders {
             for to in ring::partners(hosts.iter().map(String::as_str), from) {
                 messages += 1;
-                if is_up(to) && !heard.contains_key(to) {
-                    heard.insert(to, step);
+                if is_up(to) && !received.contains_key(to) {
+                    received.insert(to, step);
                     next.push(to);
                 }
             }
@@ -25,35 +26,35 @@
         if next.is_empty() {
             break;
         }
-        telling = next;
+        senders = next;
     }
-    (heard, messages)
+    (received, messages)
 }
 
 #[test]
-fn news_reaches_all_in_few_steps_and_messages() {
+fn records_reach_all_hosts_in_few_steps_and_messages() {
     for count in [1, 2, 3, 18, 63, 302, 790] {
         let hosts = fleet(count);
-        let (heard, messages) = spread(&hosts, |_| true);
-        assert_eq!(heard.len(), count);
+        let (received, messages) = disseminate(&hosts, |_| true);
+        assert_eq!(received.len(), count);
         let digits = usize::BITS - (count - 1).leading_zeros();
-        assert!(heard.values().all(|steps| *steps <= digits), "{count}: {heard:?}");
+        assert!(received.values().all(|steps| *steps <= digits), "{count}: {received:?}");
         assert!(messages <= count * digits as usize, "{count}: {messages}");
     }
 }
 
-/// Load: a failure domain of seven has lost power, and one host in ten of the rest is down as well.
+/// One of seven failure domains has lost power, and one in ten of the other hosts is down.
 #[test]
-fn hosts_that_are_down_have_ways_round_them() {
+fn records_bypass_hosts_that_are_down() {
     let hosts = fleet(790);
     let is_up = |host: &str| !host.starts_with("sidecar-domain-3-") && !host.ends_with('8');
-    let (heard, _) = spread(&hosts, is_up);
+    let (received, _) = disseminate(&hosts, is_up);
     let up = hosts.iter().filter(|host| is_up(host)).count();
-    assert_eq!(heard.len(), up);
+    assert_eq!(received.len(), up);
 }
 
 #[test]
-fn partners_are_few_and_differ() {
+fn peers_are_few_and_distinct() {
     let hosts = fleet(790);
     for own in &hosts {
         let partners = ring::partners(hosts.iter().map(String::as_str), own);
@@ -64,7 +65,7 @@
         assert_eq!(once.len(), partners.len());
         assert!(!partners.contains(&own.as_str()));
     }
-    // One that is not on the list yet tells the same ones as later.
+    // A host that is not in the list yet has the same peers as later.
     let others = || hosts.iter().skip(1).map(String::as_str);
     let listed = ring::partners(hosts.iter().map(String::as_str), &hosts[0]);
     assert_eq!(ring::partners(others(), &hosts[0]), listed);
--- a/crates/cherrystream-core/tests/suspects/table.rs
+++ b/crates/cherrystream-core/tests/suspects/table.rs
@@ -1,74 +1,74 @@
-//! What follows for a request from ends, answers and the words of other daemons.
+//! Treatment of requests after crashes, responses and records of other daemons.
 
-use super::{ended, identity, ms, sent, take};
+use super::{ended, identity, merge, ms, sent};
 use cherrystream_core::suspects::table::MAX_ENTRIES;
 use cherrystream_core::suspects::{Fingerprint, Reach, Record, Sent, Suspects, Verdict};
 use std::time::Duration;
 
-const DEADLY: Fingerprint = Fingerprint(1);
+const POISON: Fingerprint = Fingerprint(1);
 const SECOND: u64 = 1_000;
 
-/// Load: the request arrives, ends a server, is sent again and ends another, arrives again and runs alone.
-fn convicted() -> Suspects {
+/// A request that crashes a server, its retry on another server, and the same request in isolation.
+fn quarantined() -> Suspects {
     let mut table = Suspects::default();
     table.on_end(ms(100), &ended(1, &[sent(1, false)]));
-    assert_eq!(table.judge(ms(101), DEADLY), Verdict::Watched);
+    assert_eq!(table.judge(ms(101), POISON), Verdict::Watched);
     table.on_end(ms(200), &ended(2, &[sent(1, false)]));
-    assert_eq!(table.judge(ms(201), DEADLY), Verdict::Alone);
+    assert_eq!(table.judge(ms(201), POISON), Verdict::Alone);
     table.on_end(ms(300), &ended(3, &[sent(1, true)]));
     table
 }
 
 #[test]
-fn three_ends_of_which_one_alone_hold_a_request_back() {
-    let table = convicted();
+fn three_crashes_with_one_in_isolation_quarantine_a_request() {
+    let table = quarantined();
     let left = Duration::from_secs(29);
-    assert_eq!(table.judge(ms(1_300), DEADLY), Verdict::HeldBack(left));
+    assert_eq!(table.judge(ms(1_300), POISON), Verdict::HeldBack(left));
 }
 
 #[test]
-fn one_end_counts_once_however_many_of_the_kind_were_at_work() {
+fn a_crash_counts_once_for_duplicates_of_a_request() {
     let mut table = Suspects::default();
     table.on_end(ms(100), &ended(1, &[sent(1, false), sent(1, false), sent(1, false)]));
-    assert_eq!(table.judge(ms(101), DEADLY), Verdict::Watched);
+    assert_eq!(table.judge(ms(101), POISON), Verdict::Watched);
 }
 
-/// Load: most servers are killed at one moment, and the same harmless request was at work at several.
+/// Most servers are killed at once while the same harmless request is in flight at several.
 #[test]
-fn a_mass_kill_holds_nothing_back() {
+fn a_mass_kill_quarantines_no_request() {
     let mut table = Suspects::default();
     for end in 1..=20 {
         table.on_end(ms(100), &ended(end, &[sent(1, false)]));
     }
-    assert_eq!(table.judge(ms(101), DEADLY), Verdict::Alone);
-    table.on_answer(ms(150), DEADLY);
-    assert_eq!(table.judge(ms(151), DEADLY), Verdict::Clear);
+    assert_eq!(table.judge(ms(101), POISON), Verdict::Alone);
+    table.on_answer(ms(150), POISON);
+    assert_eq!(table.judge(ms(151), POISON), Verdict::Clear);
 }
 
-/// Load: servers end by themselves, time and again, while a request is at work that succeeds elsewhere.
+/// Servers crash repeatedly by themselves while a request is in flight that succeeds elsewhere.
 #[test]
-fn a_success_between_two_ends_clears_all_that_was_known() {
+fn a_response_between_two_crashes_clears_a_request() {
     let mut table = Suspects::default();
     for end in 1..=50 {
         table.on_end(ms(end * 100), &ended(end, &[sent(1, false)]));
-        assert_eq!(table.judge(ms(end * 100), DEADLY), Verdict::Watched);
-        table.on_answer(ms(end * 100 + 50), DEADLY);
+        assert_eq!(table.judge(ms(end * 100), POISON), Verdict::Watched);
+        table.on_answer(ms(end * 100 + 50), POISON);
     }
-    assert_eq!(table.judge(ms(5_100), DEADLY), Verdict::Clear);
+    assert_eq!(table.judge(ms(5_100), POISON), Verdict::Clear);
 }
 
-/// Load: the service is not mended; what a day of trials costs.
+/// The service is never repaired.
 #[test]
-fn trials_of_a_request_that_still_ends_servers_become_rare() {
-    let mut table = convicted();
+fn trials_of_a_request_that_still_crashes_servers_become_rare() {
+    let mut table = quarantined();
     let (mut at, mut trials, mut in_first_minutes) = (300, 0, 0);
     while at < 24 * 3_600 * SECOND {
         at += SECOND;
-        if table.judge(ms(at), DEADLY) == Verdict::Alone {
+        if table.judge(ms(at), POISON) == Verdict::Alone {
             trials += 1;
             in_first_minutes += u32::from(at < 200 * SECOND);
             table.on_end(ms(at), &ended(100 + trials, &[sent(1, true)]));
-            assert_ne!(table.judge(ms(at), DEADLY), Verdict::Alone);
+            assert_ne!(table.judge(ms(at), POISON), Verdict::Alone);
         }
     }
     // After 30 s, 90 s, 210 s, and so on up to an hour.
@@ -76,32 +76,32 @@
     assert!((25..=32).contains(&trials), "{trials} servers ended in a day");
 }
 
-/// Load: the service is mended.
+/// The service is repaired.
 #[test]
 fn a_trial_that_succeeds_clears_the_request() {
-    let mut table = convicted();
-    assert_eq!(table.judge(ms(30_300), DEADLY), Verdict::Alone);
-    let (reach, _) = table.on_answer(ms(30_400), DEADLY).unwrap();
+    let mut table = quarantined();
+    assert_eq!(table.judge(ms(30_300), POISON), Verdict::Alone);
+    let (reach, _) = table.on_answer(ms(30_400), POISON).unwrap();
     assert_eq!(reach, Reach::All);
-    assert_eq!(table.judge(ms(30_401), DEADLY), Verdict::Clear);
+    assert_eq!(table.judge(ms(30_401), POISON), Verdict::Clear);
 }
 
 #[test]
 fn an_operator_clears_a_request() {
-    let mut table = convicted();
+    let mut table = quarantined();
     let listed = table.list(ms(10_300));
     assert_eq!(listed.len(), 1);
     let suspect = &listed[0];
     assert_eq!((&*suspect.mark, &*suspect.standing), ("0000000000000001", "held-back"));
     assert_eq!((suspect.ends, suspect.ends_alone, suspect.last_end_s), (3, 1, 10));
     assert_eq!(suspect.next_trial_s, Some(20));
-    assert!(table.lift(ms(10_301), DEADLY).is_some());
-    assert_eq!(table.judge(ms(10_302), DEADLY), Verdict::Clear);
-    assert!(table.lift(ms(10_303), DEADLY).is_none());
+    assert!(table.lift(ms(10_301), POISON).is_some());
+    assert_eq!(table.judge(ms(10_302), POISON), Verdict::Clear);
+    assert!(table.lift(ms(10_303), POISON).is_none());
 }
 
 #[test]
-fn others_are_told_of_a_first_end_only_where_the_service_runs() {
+fn a_first_crash_is_announced_only_to_daemons_of_the_service() {
     let mut table = Suspects::default();
     let news = table.on_end(ms(100), &ended(1, &[sent(1, false)]));
     assert_eq!(news[0].0, Reach::Service);
@@ -110,41 +110,41 @@
     assert!(table.on_end(ms(201), &ended(2, &[sent(1, false)])).is_empty());
 }
 
-/// Load: a daemon that has just started hears of what happened before.
+/// A daemon that has just started receives a record of crashes before its start.
 #[test]
-fn a_word_carries_its_age_over_a_restart() {
-    let told = convicted().wide(ms(20_300));
-    let mut blank = Suspects::default();
-    assert!(blank.on_word(ms(5), &told[0]));
-    assert_eq!(blank.judge(ms(5), DEADLY), Verdict::HeldBack(Duration::from_secs(10)));
-    assert_eq!(blank.judge(ms(10_005), DEADLY), Verdict::Alone);
+fn a_record_keeps_its_age_over_a_restart() {
+    let records = quarantined().wide(ms(20_300));
+    let mut restarted = Suspects::default();
+    assert!(restarted.on_word(ms(5), &records[0]));
+    assert_eq!(restarted.judge(ms(5), POISON), Verdict::HeldBack(Duration::from_secs(10)));
+    assert_eq!(restarted.judge(ms(10_005), POISON), Verdict::Alone);
 }
 
 #[test]
-fn a_late_word_of_before_a_success_says_nothing() {
-    let mut table = convicted();
+fn a_record_from_before_a_response_is_ignored() {
+    let mut table = quarantined();
     let late = table.wide(ms(400));
-    table.on_answer(ms(30_400), DEADLY);
+    table.on_answer(ms(30_400), POISON);
     assert!(!table.on_word(ms(31_000), &late[0]));
-    assert_eq!(table.judge(ms(31_000), DEADLY), Verdict::Clear);
+    assert_eq!(table.judge(ms(31_000), POISON), Verdict::Clear);
 }
 
 #[test]
-fn the_age_of_an_end_does_not_creep_on_with_each_word() {
-    let (mut one, mut other) = (convicted(), Suspects::default());
+fn repeated_exchange_does_not_shift_the_age_of_a_crash() {
+    let (mut one, mut other) = (quarantined(), Suspects::default());
     for round in 1..=100 {
-        // Each message takes 50 ms, which its words do not count.
-        let words = one.wide(ms(300 + round * 100));
-        take(&mut other, ms(350 + round * 100), &words);
-        let words = other.wide(ms(350 + round * 100));
-        take(&mut one, ms(400 + round * 100), &words);
+        // Each message takes 50 ms, which the ages in it do not include.
+        let records = one.wide(ms(300 + round * 100));
+        merge(&mut other, ms(350 + round * 100), &records);
+        let records = other.wide(ms(350 + round * 100));
+        merge(&mut one, ms(400 + round * 100), &records);
     }
-    assert_eq!(one.judge(ms(30_300), DEADLY), Verdict::Alone);
+    assert_eq!(one.judge(ms(30_300), POISON), Verdict::Alone);
 }
 
 #[test]
-fn what_is_over_is_forgotten() {
-    let mut table = convicted();
+fn expired_entries_are_removed() {
+    let mut table = quarantined();
     table.on_end(ms(300), &ended(4, &[sent(2, false)]));
     table.tick(ms(3_600 * SECOND));
     assert_eq!(table.len(), 2);
@@ -154,31 +154,32 @@
     assert_eq!(table.len(), 1);
     table.tick(ms(24 * 3_600 * SECOND + SECOND));
     assert!(table.is_empty());
-    // Nor is it taken over from one that remembers it.
-    let word = convicted().wide(ms(25 * 3_600 * SECOND));
-    assert!(!table.on_word(ms(25 * 3_600 * SECOND), &word[0]));
+    // Nor is an expired record of another daemon merged.
+    let record = quarantined().wide(ms(25 * 3_600 * SECOND));
+    assert!(!table.on_word(ms(25 * 3_600 * SECOND), &record[0]));
 }
 
-/// Load: a caller sends many requests with different content, all of which were at work when servers ended.
+/// A caller sends many different requests, all in flight when servers crash.
 #[test]
-fn a_caller_with_many_suspects_displaces_its_own() {
-    let mut table = convicted();
-    let invented = (10_u64..).map(|n| Sent { identity: identity(n, 66), alone: false });
-    let invented: Vec<Sent> = invented.take(3 * MAX_ENTRIES).collect();
-    for (end, at_work) in invented.chunks(12).enumerate() {
+fn a_caller_with_many_suspects_evicts_only_its_own() {
+    let mut table = quarantined();
+    let generated = (10_u64..).map(|n| Sent { identity: identity(n, 66), alone: false });
+    let generated: Vec<Sent> = generated.take(3 * MAX_ENTRIES).collect();
+    for (end, at_work) in generated.chunks(12).enumerate() {
         table.on_end(ms(400), &ended(1_000 + end as u64, at_work));
         table.on_end(ms(400), &ended(9_000 + end as u64, at_work));
         assert!(table.len() <= MAX_ENTRIES);
     }
-    assert!(matches!(table.judge(ms(500), DEADLY), Verdict::HeldBack(_)));
+    assert!(matches!(table.judge(ms(500), POISON), Verdict::HeldBack(_)));
 }
 
 #[test]
-fn words_of_others_are_bounded_as_own_ends_are() {
-    let mut table = convicted();
-    let invented = |n| Record { request: Fingerprint(n), ..convicted().wide(ms(400))[0].clone() };
+fn records_of_other_daemons_are_bounded() {
+    let mut table = quarantined();
+    let generated =
+        |n| Record { request: Fingerprint(n), ..quarantined().wide(ms(400))[0].clone() };
     for n in 10..(10 + 2 * MAX_ENTRIES as u64) {
-        table.on_word(ms(400), &invented(n));
+        table.on_word(ms(400), &generated(n));
     }
     assert_eq!(table.len(), MAX_ENTRIES);
 }
--- a/crates/cherrystream-core/tests/suspects/world.rs
+++ b/crates/cherrystream-core/tests/suspects/world.rs
@@ -1,36 +1,36 @@
-//! Daemons that tell each other over a network that delays, loses and cuts, while requests run, servers end, hosts freeze and daemons
-//! start anew, in drawn order.
+//! Simulation of daemons over a network that delays, loses and blocks messages, with random order
+//! of requests, crashes, frozen hosts and restarts of daemons.
 
-use super::{identity, ms, take};
+use super::{identity, merge, ms};
 use arbtest::arbitrary::{Result, Unstructured};
 use cherrystream_core::suspects::{
     self, EndId, Ends, Fingerprint, Message, Reach, Record, Sent, Suspects, Verdict,
 };
 
 const HOSTS: usize = 6;
-const DEADLY: u64 = 1;
+const POISON: u64 = 1;
 const HARMLESS: u64 = 2;
-/// Time within which daemons that reach each other know the same: three digests.
-const KNOWN_WITHIN_MS: u64 = 3_000;
+/// Time within which the tables of connected daemons converge: three digests.
+const CONVERGENCE_MS: u64 = 3_000;
 
 struct Host {
     table: Suspects,
     ends: Ends,
-    /// Until when its backend server is down.
+    /// Time at which its backend server is up again.
     down_until: u64,
-    /// Until when it stands still.
+    /// Time at which the host resumes.
     frozen_until: u64,
-    is_cut: bool,
+    is_partitioned: bool,
 }
 
 struct World {
     now: u64,
     hosts: Vec<Host>,
-    /// Messages under way: when they arrive, where, and what they say.
-    under_way: Vec<(u64, usize, Message)>,
-    next_end: u64,
+    /// Messages in transit: time of arrival, destination and content.
+    in_transit: Vec<(u64, usize, Message)>,
+    next_crash: u64,
     runs: Vec<(u64, u64, bool)>,
-    /// Whether a server ended by itself under a harmless request that ran alone.
+    /// Whether a server crashed by coincidence while a harmless request ran in isolation.
     has_coincidence: bool,
 }
 
@@ -41,13 +41,13 @@
             ends: Ends::default(),
             down_until: 0,
             frozen_until: 0,
-            is_cut: false,
+            is_partitioned: false,
         };
         World {
             now: 0,
             hosts: (0..HOSTS).map(host).collect(),
-            under_way: Vec::new(),
-            next_end: 0,
+            in_transit: Vec::new(),
+            next_crash: 0,
             runs: Vec::new(),
             has_coincidence: false,
         }
@@ -61,12 +61,12 @@
     fn reaches(&self, from: usize, to: usize) -> bool {
         let open = |host: usize| {
             let h = &self.hosts[host];
-            !h.is_cut && h.frozen_until <= self.now
+            !h.is_partitioned && h.frozen_until <= self.now
         };
         from == to || (open(from) && open(to))
     }
 
-    fn tell(
+    fn announce(
         &mut self,
         u: &mut Unstructured<'_>,
         from: usize,
@@ -77,14 +77,15 @@
                 if to != from && self.reaches(from, to) && !u.ratio(1, 8)? {
                     let at = self.now + u.int_in_range(1..=400)?;
                     let message = Message { records: vec![record.clone()], digest: None };
-                    self.under_way.push((at, to, message));
+                    self.in_transit.push((at, to, message));
                 }
             }
         }
         Ok(())
     }
 
-    /// Sends a request through an outbound; as the daemon does, it goes alone where it has to, and again after one break.
+    /// Sends a request through an outbound as the daemon does: in isolation where required, and
+    /// with one retry after a broken connection.
     fn send(&mut self, u: &mut Unstructured<'_>, request: u64) -> Result<()> {
         let from = u.choose_index(HOSTS)?;
         for _ in 0..2 {
@@ -98,14 +99,14 @@
             if open.is_empty() {
                 return Ok(());
             }
-            let home = |open: &[usize]| {
+            let selected_host = |open: &[usize]| {
                 let weight = |h: &&usize| suspects::weight(Fingerprint(request), &h.to_string());
                 open.iter().max_by_key(weight).copied().unwrap_or_default()
             };
-            let mut to = if alone { home(&open) } else { *u.choose(&open)? };
+            let mut to = if alone { selected_host(&open) } else { *u.choose(&open)? };
             match self.hosts[to].table.judge(ms(self.now), Fingerprint(request)) {
                 Verdict::HeldBack(_) => return Ok(()),
-                Verdict::Alone if !alone => (to, alone) = (home(&open), true),
+                Verdict::Alone if !alone => (to, alone) = (selected_host(&open), true),
                 _ => {}
             }
             if matches!(
@@ -122,7 +123,7 @@
         Ok(())
     }
 
-    /// Runs a request at a server; returns whether the server ended.
+    /// Runs a request at a server; returns whether the server crashed.
     fn run(
         &mut self,
         u: &mut Unstructured<'_>,
@@ -131,63 +132,63 @@
         alone: bool,
     ) -> Result<bool> {
         self.runs.push((self.now, request, alone));
-        let by_itself = u.ratio(1, 10)?;
+        let by_coincidence = u.ratio(1, 10)?;
         self.now += 30;
-        if request != DEADLY && !by_itself {
+        if request != POISON && !by_coincidence {
             let host = &mut self.hosts[at];
             host.ends.on_answer(ms(self.now - 30));
             let news = host.table.on_answer(ms(self.now), Fingerprint(request));
-            self.tell(u, at, news.into_iter().collect())?;
+            self.announce(u, at, news.into_iter().collect())?;
             return Ok(false);
         }
-        self.has_coincidence |= request != DEADLY && alone;
+        self.has_coincidence |= request != POISON && alone;
         let sent = Sent { identity: identity(request, request), alone };
         self.end(u, at, Some(sent))?;
         Ok(true)
     }
 
     fn end(&mut self, u: &mut Unstructured<'_>, at: usize, sent: Option<Sent>) -> Result<()> {
-        let (now, id) = (ms(self.now), EndId(self.next_end));
-        self.next_end += 1;
+        let (now, id) = (ms(self.now), EndId(self.next_crash));
+        self.next_crash += 1;
         let host = &mut self.hosts[at];
         host.down_until = self.now + 2_000;
         let known = sent.and_then(|sent| host.ends.on_broke(now, ms(self.now - 30), sent));
         let ended = known.or_else(|| host.ends.on_ended(now, id));
-        // The next run is another one.
+        // The restarted server is another instance.
         host.ends = Ends::default();
         let news = ended.map(|ended| host.table.on_end(now, &ended)).unwrap_or_default();
-        self.tell(u, at, news)
+        self.announce(u, at, news)
     }
 
     fn advance(&mut self, by: u64) {
         self.now += by;
         let now = self.now;
-        let (due, later) = self.under_way.drain(..).partition(|(at, _, _)| *at <= now);
-        self.under_way = later;
+        let (due, later) = self.in_transit.drain(..).partition(|(at, _, _)| *at <= now);
+        self.in_transit = later;
         let due: Vec<(u64, usize, Message)> = due;
         for (_, to, message) in due {
             let host = &mut self.hosts[to];
-            if host.frozen_until <= now && !host.is_cut {
-                take(&mut host.table, ms(now), &message.records);
+            if host.frozen_until <= now && !host.is_partitioned {
+                merge(&mut host.table, ms(now), &message.records);
             }
         }
     }
 
-    /// Compares what two daemons know, as one of them does once a second.
+    /// Compares the tables of two daemons, as each daemon does periodically.
     fn compare(&mut self, one: usize, other: usize) {
         let now = ms(self.now);
         if one == other || !self.reaches(one, other) {
             return;
         }
         for (from, to) in [(one, other), (other, one)] {
-            let words = self.hosts[from].table.wide(now);
-            take(&mut self.hosts[to].table, now, &words);
+            let records = self.hosts[from].table.wide(now);
+            merge(&mut self.hosts[to].table, now, &records);
         }
     }
 
     fn step(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         match u.int_in_range(0..=19)? {
-            0..=5 => self.send(u, DEADLY)?,
+            0..=5 => self.send(u, POISON)?,
             6..=11 => self.send(u, HARMLESS)?,
             12..=14 => {
                 let by = u.int_in_range(1..=500)?;
@@ -199,10 +200,10 @@
             }
             16 => {
                 let host = u.choose_index(HOSTS)?;
-                self.hosts[host].is_cut = !self.hosts[host].is_cut;
+                self.hosts[host].is_partitioned = !self.hosts[host].is_partitioned;
             }
             17 => {
-                // A daemon starts anew and asks the others.
+                // A daemon restarts and queries the others.
                 let host = u.choose_index(HOSTS)?;
                 self.hosts[host].table = Suspects::default();
                 (0..HOSTS).for_each(|other| self.compare(host, other));
@@ -221,7 +222,7 @@
 
     fn heal(&mut self) {
         self.hosts.iter_mut().for_each(|host| {
-            (host.is_cut, host.frozen_until) = (false, 0);
+            (host.is_partitioned, host.frozen_until) = (false, 0);
         });
         self.advance(1_000);
         for one in 0..HOSTS {
@@ -231,7 +232,7 @@
     }
 }
 
-fn know_the_same(u: &mut Unstructured<'_>) -> Result<()> {
+fn converge(u: &mut Unstructured<'_>) -> Result<()> {
     let mut world = World::new();
     while !u.is_empty() {
         world.step(u)?;
@@ -246,28 +247,28 @@
 }
 
 #[test]
-fn daemons_that_reach_each_other_come_to_know_the_same() {
-    arbtest::arbtest(know_the_same).budget_ms(2_000);
+fn tables_of_connected_daemons_converge() {
+    arbtest::arbtest(converge).budget_ms(2_000);
 }
 
-/// A request was cleared twice at a daemon that had heard only of first ends, while others were told of an earlier generation as one
-/// that all have to know: neither took the other's word, and each kept its own.
+/// Regression: a daemon that only had records for the service cleared a request twice, while others
+/// had an earlier generation of it for all daemons. Neither merged the record of the other.
 #[test]
-fn a_late_word_that_all_were_told_of_is_answered_with_what_became_of_it() {
-    arbtest::arbtest(know_the_same).seed(0x5f1d7800000001c5);
+fn a_late_record_for_all_daemons_is_answered_with_the_current_one() {
+    arbtest::arbtest(converge).seed(0x5f1d7800000001c5);
 }
 
 #[test]
-fn a_harmless_request_is_held_back_only_where_a_server_ended_under_its_trial() {
+fn a_harmless_request_is_quarantined_only_after_a_crash_in_isolation() {
     arbtest::arbtest(|u| {
         let mut world = World::new();
         while !u.is_empty() {
             world.step(u)?;
-            let is_held = |host: &Host| {
+            let is_quarantined = |host: &Host| {
                 let verdict = host.table.judge(ms(world.now), Fingerprint(HARMLESS));
                 matches!(verdict, Verdict::HeldBack(_))
             };
-            assert!(world.has_coincidence || !world.hosts.iter().any(is_held));
+            assert!(world.has_coincidence || !world.hosts.iter().any(is_quarantined));
         }
         Ok(())
     })
@@ -275,7 +276,7 @@
 }
 
 #[test]
-fn a_request_that_ends_servers_is_held_back_within_a_few_runs_once_daemons_reach_each_other() {
+fn a_poison_request_is_quarantined_within_a_few_runs_by_connected_daemons() {
     arbtest::arbtest(|u| {
         let mut world = World::new();
         for _ in 0..40 {
@@ -284,10 +285,10 @@
         world.heal();
         world.advance(2_000);
         let healed = world.now;
-        // It comes once a second; servers are back after two.
+        // The request is sent once a second; servers restart within two seconds.
         for _ in 0..20 {
             let from = world.runs.len();
-            world.send(u, DEADLY)?;
+            world.send(u, POISON)?;
             for (at, _, _) in &mut world.runs[from..] {
                 *at = world.now;
             }
@@ -296,52 +297,51 @@
                 world.compare(one, (one + 1) % HOSTS);
             }
         }
-        let deadly =
-            || world.runs.iter().filter(|(at, request, _)| *at >= healed && *request == DEADLY);
-        let third = deadly().nth(2).map_or(u64::MAX, |(at, _, _)| *at);
-        let late =
-            deadly().filter(|(at, _, _)| *at > third.saturating_add(KNOWN_WITHIN_MS)).count();
-        assert!(late <= 3, "{late} of {}", deadly().count());
+        let poison =
+            || world.runs.iter().filter(|(at, request, _)| *at >= healed && *request == POISON);
+        let third = poison().nth(2).map_or(u64::MAX, |(at, _, _)| *at);
+        let late = poison().filter(|(at, _, _)| *at > third.saturating_add(CONVERGENCE_MS)).count();
+        assert!(late <= 3, "{late} of {}", poison().count());
         Ok(())
     })
     .budget_ms(2_000);
 }
 
 #[test]
-fn words_say_the_same_in_any_order_and_however_often() {
+fn records_merge_in_any_order_and_repeatedly() {
     arbtest::arbtest(|u| {
         let mut world = World::new();
         for _ in 0..60 {
             world.step(u)?;
         }
         let now = ms(world.now);
-        let mut words: Vec<Record> =
+        let mut records: Vec<Record> =
             world.hosts.iter().flat_map(|host| host.table.wide(now)).collect();
         let mut one = Suspects::default();
-        take(&mut one, now, &words);
-        words.reverse();
+        merge(&mut one, now, &records);
+        records.reverse();
         let mut other = Suspects::default();
-        take(&mut other, now, &words);
-        take(&mut other, now, &words);
+        merge(&mut other, now, &records);
+        merge(&mut other, now, &records);
         assert_eq!(one.digest(), other.digest());
         Ok(())
     })
     .budget_ms(1_000);
 }
 
-/// The one server for a request is the same for all, and a host that goes moves only its own requests.
+/// All daemons select the same host for a request, and a removed host moves only its own requests.
 #[test]
-fn each_request_has_one_host_and_hosts_share_them() {
+fn each_request_has_one_host_and_hosts_are_balanced() {
     let hosts: Vec<String> = (0..10).map(|n| format!("host-{n}")).collect();
-    let home = |request: u64, out: usize| {
+    let selected_host = |request: u64, out: usize| {
         let open = hosts.iter().enumerate().filter(|(at, _)| *at != out);
         open.max_by_key(|(_, host)| suspects::weight(Fingerprint(request), host)).unwrap().0
     };
     let mut share = [0; 10];
     for request in 0..1_000 {
-        let at = home(request, usize::MAX);
+        let at = selected_host(request, usize::MAX);
         share[at] += 1;
-        let moved = home(request, 3);
+        let moved = selected_host(request, 3);
         assert!(at == 3 || moved == at);
     }
     assert!(share.iter().all(|share| (60..=140).contains(share)), "{share:?}");
