--- a/crates/cherrystream-core/src/admission/mod.rs
+++ b/crates/cherrystream-core/src/admission/mod.rs
@@ -5,7 +5,7 @@
 mod request;
 
 pub use fair::Sharer;
-pub use request::{Action, Arrival, Options, Rank, Refusal, Ticket, Verdict};
+pub use request::{Action, Arrival, Decision, Options, Rank, Refusal, Ticket};
 
 use crate::cold_pace::{ColdLimits, ColdPace};
 use crate::pace::Pace;
@@ -152,7 +152,7 @@
     }
 
     /// Decides on a request that belongs to no flow.
-    pub fn arrive(&mut self, now: Timestamp, arrival: Arrival) -> (Verdict, Vec<Action>) {
+    pub fn arrive(&mut self, now: Timestamp, arrival: Arrival) -> (Decision, Vec<Action>) {
         self.arrive_for(now, arrival, None)
     }
 
@@ -162,13 +162,13 @@
         now: Timestamp,
         arrival: Arrival,
         sharer: Option<&Sharer>,
-    ) -> (Verdict, Vec<Action>) {
+    ) -> (Decision, Vec<Action>) {
         let mut actions = Vec::new();
         if let Some(reason) = self.closed_reason() {
-            return (Verdict::Refuse(self.refusal(reason)), actions);
+            return (Decision::Refuse(self.refusal(reason)), actions);
         }
         let Some(remaining) = non_zero(arrival.deadline.since(now)) else {
-            return (Verdict::Refuse(self.refusal(Reason::DeadlineBeforeStart)), actions);
+            return (Decision::Refuse(self.refusal(Reason::DeadlineBeforeStart)), actions);
         };
         // Nested calls belong to no flow.
         let sharer = sharer.filter(|_| !arrival.called);
@@ -179,7 +179,7 @@
         let key = QueueKey { rank: Reverse(rank), usage, ticket: Ticket(self.next_ticket + 1) };
         if arrival.selective && self.is_busy(now, &arrival, key, over_share) {
             self.note_limit_reached(now);
-            return (Verdict::Refuse(self.busy_refusal(now, key, over_share)), actions);
+            return (Decision::Refuse(self.busy_refusal(now, key, over_share)), actions);
         }
         self.next_ticket += 1;
         let ticket = key.ticket;
@@ -187,31 +187,31 @@
             self.add_nested_call(now, rank.called);
             self.charge(now, &arrival, ticket, sharer);
             self.start(now, ticket, rank.called, over_share);
-            return (Verdict::Run(ticket), actions);
+            return (Decision::Run(ticket), actions);
         }
         self.note_limit_reached(now);
         if let Some(refusal) = self.cold_refusal(now, &arrival, rank, remaining) {
-            return (Verdict::Refuse(refusal), actions);
+            return (Decision::Refuse(refusal), actions);
         }
         // A refused nested call wastes the work of its parent, so it waits regardless of the
         // estimate.
         if !rank.called && self.expected_wait(key) > remaining {
             let reason = self.long_wait_reason(key, remaining);
-            return (Verdict::Refuse(self.refusal(reason)), actions);
+            return (Decision::Refuse(self.refusal(reason)), actions);
         }
         if !rank.called && self.waiting.len() >= self.opts.queue as usize {
             match self.shed_last(now, key) {
                 // Only requests with a lower priority are shed, and nested calls have the highest.
                 Some(shed) => actions.push(shed),
                 None => {
-                    return (Verdict::Refuse(self.refusal(Reason::QueueFull)), actions);
+                    return (Decision::Refuse(self.refusal(Reason::QueueFull)), actions);
                 }
             }
         }
         self.add_nested_call(now, rank.called);
         self.charge(now, &arrival, ticket, sharer);
         self.waiting.insert(key, Waiting { deadline: arrival.deadline, over_share });
-        (Verdict::Wait(ticket), actions)
+        (Decision::Wait(ticket), actions)
     }
 
     /// Records that a request left the backend server, with or without an answer.
--- a/crates/cherrystream-core/src/admission/request.rs
+++ b/crates/cherrystream-core/src/admission/request.rs
@@ -71,7 +71,7 @@
 
 /// Decision on a new request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
+pub enum Decision {
     /// The request is sent to the backend server now.
     Run(Ticket),
     /// The request is queued; an [`Action`] follows.
--- a/crates/cherrystream-core/tests/calls.rs
+++ b/crates/cherrystream-core/tests/calls.rs
@@ -1,6 +1,6 @@
 //! Nested calls to backend servers that serve other requests as well.
 
-use cherrystream_core::admission::{self, Action, Admission, Arrival, Ticket, Verdict};
+use cherrystream_core::admission::{self, Action, Admission, Arrival, Decision, Ticket};
 use cherrystream_core::call_times::{self, CallTimes, Given};
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::retry::{self, Allowance, Failed, RetryBudget};
@@ -68,9 +68,9 @@
 
     fn arrive(&mut self, i: usize, now: u64, arrival: Arrival, work: u64) -> Result<(), Reason> {
         match self.admissions[i].arrive(ms(now), arrival).0 {
-            Verdict::Run(ticket) => drop(self.ends[i].insert(ticket, now + work)),
-            Verdict::Wait(ticket) => drop(self.waiting[i].insert(ticket, work)),
-            Verdict::Refuse(refusal) => return Err(refusal.reason),
+            Decision::Run(ticket) => drop(self.ends[i].insert(ticket, now + work)),
+            Decision::Wait(ticket) => drop(self.waiting[i].insert(ticket, work)),
+            Decision::Refuse(refusal) => return Err(refusal.reason),
         }
         Ok(())
     }
--- a/crates/cherrystream-core/tests/cold.rs
+++ b/crates/cherrystream-core/tests/cold.rs
@@ -1,7 +1,7 @@
 //! Warmth of backend servers and the rate limit of cold ones.
 
 use arbtest::arbtest;
-use cherrystream_core::admission::{Action, Admission, Arrival, Options, Ticket, Verdict};
+use cherrystream_core::admission::{Action, Admission, Arrival, Decision, Options, Ticket};
 use cherrystream_core::cold_pace::ColdLimits;
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::units::Timestamp;
@@ -95,13 +95,13 @@
     let mut refused = 0;
     for _ in 0..50 {
         match admission.arrive(at(0), arrival(at(0), false, ms(100))).0 {
-            Verdict::Refuse(refusal) => {
+            Decision::Refuse(refusal) => {
                 assert_eq!(refusal.reason, Reason::ServerCold);
                 // A retry is useful only once the window has free capacity.
                 assert!(refusal.retry_after > ms(100), "{:?}", refusal.retry_after);
                 refused += 1;
             }
-            Verdict::Run(_) | Verdict::Wait(_) => {}
+            Decision::Run(_) | Decision::Wait(_) => {}
         }
     }
     assert_eq!(refused, 50 - 32, "refused of 50 requests");
@@ -111,13 +111,13 @@
 fn nested_calls_go_first_at_a_cold_server() {
     let mut admission = new_admission();
     admission.warmth().on_answer(at(0), ms(3_000));
-    let mut last = Verdict::Run(Ticket(0));
-    while let Verdict::Run(ticket) = last {
+    let mut last = Decision::Run(Ticket(0));
+    while let Decision::Run(ticket) = last {
         admission.on_sent(at(0), ticket);
         last = admission.arrive(at(0), arrival(at(0), false, ms(1_500))).0;
     }
     let called = admission.arrive(at(0), arrival(at(0), true, ms(1_500))).0;
-    let Verdict::Wait(called) = called else { panic!("{called:?}") };
+    let Decision::Wait(called) = called else { panic!("{called:?}") };
     let started = (0..1_200).find_map(|ms| admission.tick(at(ms)).first().copied());
     assert_eq!(started, Some(Action::Start(called)));
 }
@@ -126,13 +126,13 @@
 fn a_restarted_process_sends_nothing_to_a_cold_server_in_its_first_second() {
     let mut admission = inherited_admission();
     admission.warmth().on_answer(at(300), ms(3_000));
-    let Verdict::Refuse(refusal) = admission.arrive(at(300), arrival(at(300), false, ms(100))).0
+    let Decision::Refuse(refusal) = admission.arrive(at(300), arrival(at(300), false, ms(100))).0
     else {
         panic!("the request was admitted");
     };
     assert_eq!((refusal.reason, refusal.retry_after), (Reason::ServerCold, ms(750)));
-    let verdict = admission.arrive(at(1_050), arrival(at(1_050), false, ms(100))).0;
-    assert!(matches!(verdict, Verdict::Run(_)), "{verdict:?}");
+    let decision = admission.arrive(at(1_050), arrival(at(1_050), false, ms(100))).0;
+    assert!(matches!(decision, Decision::Run(_)), "{decision:?}");
 }
 
 #[test]
@@ -140,8 +140,8 @@
     let mut admission = new_admission();
     admission.warmth().on_answer(at(0), Duration::ZERO);
     for _ in 0..40 {
-        let verdict = admission.arrive(at(0), arrival(at(0), false, SECOND)).0;
-        assert!(matches!(verdict, Verdict::Run(_)), "{verdict:?}");
+        let decision = admission.arrive(at(0), arrival(at(0), false, SECOND)).0;
+        assert!(matches!(decision, Decision::Run(_)), "{decision:?}");
     }
 }
 
@@ -196,8 +196,8 @@
                         weight: u.int_in_range(0..=3)?,
                         ..arrival(now, u.arbitrary()?, wait)
                     };
-                    let (verdict, actions) = admission.arrive(now, request);
-                    if let Verdict::Run(ticket) = verdict {
+                    let (decision, actions) = admission.arrive(now, request);
+                    if let Decision::Run(ticket) = decision {
                         schedule.unsent.push_back(ticket);
                     }
                     schedule.start(actions);
@@ -311,7 +311,7 @@
         if now < self.back_at {
             return;
         }
-        if let Verdict::Run(ticket) = self.admission.arrive(now, arrival(now, false, ms(40))).0 {
+        if let Decision::Run(ticket) = self.admission.arrive(now, arrival(now, false, ms(40))).0 {
             self.run(now, ticket);
         }
     }
--- a/crates/cherrystream-core/tests/fair_shares.rs
+++ b/crates/cherrystream-core/tests/fair_shares.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbtest;
 use cherrystream_core::admission::{
-    self, Action, Admission, Arrival, Refusal, Sharer, Ticket, Verdict,
+    self, Action, Admission, Arrival, Decision, Refusal, Sharer, Ticket,
 };
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::units::Timestamp;
@@ -129,22 +129,22 @@
             let good_until = Some(ms(sent.at + TARGET_MS));
             let arrival = Arrival { selective, good_until, ..waiting(weight, at + MAX_WAIT_MS) };
             let flow = simulation.fair.then(|| flow(name, share));
-            let (verdict, actions) =
+            let (decision, actions) =
                 simulation.admissions[server].arrive_for(ms(at), arrival, flow.as_ref());
             simulation.act(at, server, actions);
-            verdict
+            decision
         };
         for server in &order {
-            if let Verdict::Run(ticket) = arrive(self, *server, true) {
+            if let Decision::Run(ticket) = arrive(self, *server, true) {
                 return self.start(at, *server, ticket, sent);
             }
         }
         match arrive(self, order[0], false) {
-            Verdict::Run(ticket) => self.start(at, order[0], ticket, sent),
-            Verdict::Wait(ticket) => {
+            Decision::Run(ticket) => self.start(at, order[0], ticket, sent),
+            Decision::Wait(ticket) => {
                 self.waiting[order[0]].insert(ticket, sent);
             }
-            Verdict::Refuse(_) => self.on_refusal(at, sent),
+            Decision::Refuse(_) => self.on_refusal(at, sent),
         }
     }
 
@@ -301,10 +301,10 @@
     let arrive = |admission: &mut Admission, at, flow| {
         admission.arrive_for(ms(at), waiting(1, 10_000), Some(flow))
     };
-    assert!(matches!(arrive(&mut admission, 1, &hot).0, Verdict::Run(_)));
-    let Verdict::Wait(shed) = arrive(&mut admission, 2, &hot).0 else { panic!() };
-    let (verdict, actions) = arrive(&mut admission, 3, &other);
-    assert!(matches!(verdict, Verdict::Wait(_)));
+    assert!(matches!(arrive(&mut admission, 1, &hot).0, Decision::Run(_)));
+    let Decision::Wait(shed) = arrive(&mut admission, 2, &hot).0 else { panic!() };
+    let (decision, actions) = arrive(&mut admission, 3, &other);
+    assert!(matches!(decision, Decision::Wait(_)));
     assert_eq!(refusals(&actions), [(shed, Reason::ShareUsed)]);
     // Between different ranks, shares don't matter.
     let (_, actions) = admission.arrive_for(ms(4), waiting(2, 10_000), Some(&hot));
@@ -314,9 +314,9 @@
 #[test]
 fn without_flows_requests_of_one_rank_start_in_order_of_arrival() {
     let mut admission = new_admission(1, 4);
-    let Verdict::Run(first) = admission.arrive(ms(1), waiting(1, 10_000)).0 else { panic!() };
-    let Verdict::Wait(second) = admission.arrive(ms(2), waiting(1, 10_000)).0 else { panic!() };
-    let Verdict::Wait(third) = admission.arrive(ms(3), waiting(1, 10_000)).0 else { panic!() };
+    let Decision::Run(first) = admission.arrive(ms(1), waiting(1, 10_000)).0 else { panic!() };
+    let Decision::Wait(second) = admission.arrive(ms(2), waiting(1, 10_000)).0 else { panic!() };
+    let Decision::Wait(third) = admission.arrive(ms(3), waiting(1, 10_000)).0 else { panic!() };
     assert_eq!(admission.finish(ms(4), first, true), [Action::Start(second)]);
     assert_eq!(admission.finish(ms(5), second, true), [Action::Start(third)]);
 }
@@ -329,27 +329,27 @@
     let arrive =
         |admission: &mut Admission, at, who| admission.arrive_for(ms(at), selective, Some(who)).0;
     for flow in [&other, &third] {
-        let Verdict::Run(ticket) = arrive(&mut admission, 1, flow) else { panic!() };
+        let Decision::Run(ticket) = arrive(&mut admission, 1, flow) else { panic!() };
         admission.finish(ms(2), ticket, true);
     }
     for _ in 0..20 {
-        let Verdict::Run(ticket) = arrive(&mut admission, 3, &hot) else { panic!() };
+        let Decision::Run(ticket) = arrive(&mut admission, 3, &hot) else { panic!() };
         admission.finish(ms(3), ticket, true);
     }
     // One request of the hot workspace may run at any time, but none takes the last slot.
-    let Verdict::Run(first) = arrive(&mut admission, 10, &hot) else { panic!() };
-    let verdict = arrive(&mut admission, 11, &hot);
-    assert!(matches!(verdict, Verdict::Refuse(refusal) if refusal.makes_way()), "{verdict:?}");
-    let Verdict::Run(_) = arrive(&mut admission, 12, &other) else { panic!() };
+    let Decision::Run(first) = arrive(&mut admission, 10, &hot) else { panic!() };
+    let decision = arrive(&mut admission, 11, &hot);
+    assert!(matches!(decision, Decision::Refuse(refusal) if refusal.makes_way()), "{decision:?}");
+    let Decision::Run(_) = arrive(&mut admission, 12, &other) else { panic!() };
     // Without a free slot it is an ordinary refusal.
-    let verdict = arrive(&mut admission, 13, &third);
-    assert!(matches!(verdict, Verdict::Refuse(refusal) if !refusal.makes_way()), "{verdict:?}");
+    let decision = arrive(&mut admission, 13, &third);
+    assert!(matches!(decision, Decision::Refuse(refusal) if !refusal.makes_way()), "{decision:?}");
     // Once the others are inactive, the hot workspace gets all slots.
     admission.finish(ms(6_000), first, true);
-    assert!(matches!(arrive(&mut admission, 6_001, &hot), Verdict::Run(_)));
+    assert!(matches!(arrive(&mut admission, 6_001, &hot), Decision::Run(_)));
     let mut admission = new_admission(2, 0);
-    assert!(matches!(arrive(&mut admission, 1, &hot), Verdict::Run(_)));
-    assert!(matches!(arrive(&mut admission, 2, &hot), Verdict::Run(_)));
+    assert!(matches!(arrive(&mut admission, 1, &hot), Decision::Run(_)));
+    assert!(matches!(arrive(&mut admission, 2, &hot), Decision::Run(_)));
 }
 
 /// Guards against head-of-line blocking: a request of a workspace over its share is first in the
@@ -362,17 +362,17 @@
         admission.arrive_for(ms(at), waiting(weight, 10_000), Some(who)).0
     };
     for flow in [&other, &third] {
-        let Verdict::Run(ticket) = arrive(&mut admission, 1, 1, flow) else { panic!() };
+        let Decision::Run(ticket) = arrive(&mut admission, 1, 1, flow) else { panic!() };
         admission.finish(ms(2), ticket, true);
     }
     for _ in 0..20 {
-        let Verdict::Run(ticket) = arrive(&mut admission, 3, 1, &hot) else { panic!() };
+        let Decision::Run(ticket) = arrive(&mut admission, 3, 1, &hot) else { panic!() };
         admission.finish(ms(3), ticket, true);
     }
-    let Verdict::Run(_) = arrive(&mut admission, 10, 1, &hot) else { panic!() };
-    let Verdict::Run(second) = arrive(&mut admission, 11, 1, &other) else { panic!() };
-    let Verdict::Wait(_) = arrive(&mut admission, 12, 2, &hot) else { panic!() };
-    let Verdict::Wait(behind) = arrive(&mut admission, 13, 1, &other) else { panic!() };
+    let Decision::Run(_) = arrive(&mut admission, 10, 1, &hot) else { panic!() };
+    let Decision::Run(second) = arrive(&mut admission, 11, 1, &other) else { panic!() };
+    let Decision::Wait(_) = arrive(&mut admission, 12, 2, &hot) else { panic!() };
+    let Decision::Wait(behind) = arrive(&mut admission, 13, 1, &other) else { panic!() };
     assert_eq!(admission.finish(ms(20), second, true), [Action::Start(behind)]);
 }
 
@@ -383,19 +383,19 @@
     let arrive = |admission: &mut Admission, at, flow: &Sharer| {
         admission.arrive_for(ms(at), waiting(1, 10_000), Some(flow))
     };
-    let Verdict::Run(mut running) = arrive(&mut admission, 1, &hot).0 else { panic!() };
+    let Decision::Run(mut running) = arrive(&mut admission, 1, &hot).0 else { panic!() };
     for _ in 0..5 {
         admission.finish(ms(1), running, true);
-        let Verdict::Run(ticket) = arrive(&mut admission, 1, &hot).0 else { panic!() };
+        let Decision::Run(ticket) = arrive(&mut admission, 1, &hot).0 else { panic!() };
         running = ticket;
     }
     for i in 0..1_000 {
         admission.finish(ms(2), running, true);
-        let verdict = arrive(&mut admission, 2, &flow(&format!("small-{i}"), None)).0;
-        let Verdict::Run(ticket) = verdict else { panic!("{verdict:?}") };
+        let decision = arrive(&mut admission, 2, &flow(&format!("small-{i}"), None)).0;
+        let Decision::Run(ticket) = decision else { panic!("{decision:?}") };
         running = ticket;
     }
-    let Verdict::Wait(hot) = arrive(&mut admission, 3, &hot).0 else { panic!() };
+    let Decision::Wait(hot) = arrive(&mut admission, 3, &hot).0 else { panic!() };
     let (_, actions) = arrive(&mut admission, 3, &flow("one more", None));
     assert_eq!(refusals(&actions), [(hot, Reason::ShareUsed)]);
 }
--- a/crates/cherrystream-core/tests/fresh_words.rs
+++ b/crates/cherrystream-core/tests/fresh_words.rs
@@ -4,7 +4,7 @@
 //! moment, for 300 ms each time. A request is offered to up to four of them as selective, then to
 //! one more as not selective.
 
-use cherrystream_core::admission::{Admission, Arrival, Options, Ticket, Verdict};
+use cherrystream_core::admission::{Admission, Arrival, Decision, Options, Ticket};
 use cherrystream_core::units::Timestamp;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -110,12 +110,12 @@
             server.admission.on_pace(now, server.slowness);
         }
         let ticket = match server.admission.arrive(now, arrival).0 {
-            Verdict::Run(ticket) => ticket,
-            Verdict::Wait(ticket) => {
+            Decision::Run(ticket) => ticket,
+            Decision::Wait(ticket) => {
                 server.admission.leave_queue(now, ticket);
                 return false;
             }
-            Verdict::Refuse(_) => return false,
+            Decision::Refuse(_) => return false,
         };
         self.counts.served += 1;
         self.counts.started_slow += u32::from(server.slowness > 100);
--- a/crates/cherrystream-core/tests/overload.rs
+++ b/crates/cherrystream-core/tests/overload.rs
@@ -1,7 +1,7 @@
 //! Admission control under load: slowness reports, reserved slots for nested calls, and selective
 //! requests.
 
-use cherrystream_core::admission::{self, Admission, Arrival, Verdict};
+use cherrystream_core::admission::{self, Admission, Arrival, Decision};
 use cherrystream_core::callers::Callers;
 use cherrystream_core::log_budget::LogBudget;
 use cherrystream_core::pace::Pace;
@@ -36,9 +36,9 @@
     Arrival { called: true, ..arrival(1, selective) }
 }
 
-fn reason(verdict: Verdict) -> Option<Reason> {
-    match verdict {
-        Verdict::Refuse(refusal) => Some(refusal.reason),
+fn reason(decision: Decision) -> Option<Reason> {
+    match decision {
+        Decision::Refuse(refusal) => Some(refusal.reason),
         _ => None,
     }
 }
@@ -48,9 +48,9 @@
     let mut admission = new_admission(10);
     admission.on_pace(ms(1_000), 400);
     assert_eq!(reason(admission.arrive(ms(1_010), arrival(1, true)).0), Some(Reason::BusyNow));
-    assert!(matches!(admission.arrive(ms(1_010), arrival(1, false)).0, Verdict::Run(_)));
+    assert!(matches!(admission.arrive(ms(1_010), arrival(1, false)).0, Decision::Run(_)));
     admission.on_pace(ms(1_050), 100);
-    assert!(matches!(admission.arrive(ms(1_060), arrival(1, true)).0, Verdict::Run(_)));
+    assert!(matches!(admission.arrive(ms(1_060), arrival(1, true)).0, Decision::Run(_)));
 }
 
 #[test]
@@ -62,14 +62,14 @@
         good_until: Some(ms(until)),
         ..arrival(1, true)
     };
-    assert!(matches!(admission.arrive(ms(1_000), with_times(100, 1_250)).0, Verdict::Run(_)));
+    assert!(matches!(admission.arrive(ms(1_000), with_times(100, 1_250)).0, Decision::Run(_)));
     assert_eq!(
         reason(admission.arrive(ms(1_000), with_times(100, 1_150)).0),
         Some(Reason::BusyNow)
     );
     // At normal speed the slowness doesn't make an answer late.
     admission.on_pace(ms(1_050), 100);
-    assert!(matches!(admission.arrive(ms(1_060), with_times(100, 1_100)).0, Verdict::Run(_)));
+    assert!(matches!(admission.arrive(ms(1_060), with_times(100, 1_100)).0, Decision::Run(_)));
 }
 
 #[test]
@@ -113,10 +113,10 @@
 fn only_a_share_of_the_slots_is_used() {
     let mut admission = new_admission(10);
     for _ in 0..8 {
-        assert!(matches!(admission.arrive(ms(1), arrival(1, true)).0, Verdict::Run(_)));
+        assert!(matches!(admission.arrive(ms(1), arrival(1, true)).0, Decision::Run(_)));
     }
     assert_eq!(reason(admission.arrive(ms(1), arrival(1, true)).0), Some(Reason::BusyNow));
-    assert!(matches!(admission.arrive(ms(1), arrival(1, false)).0, Verdict::Wait(_)));
+    assert!(matches!(admission.arrive(ms(1), arrival(1, false)).0, Decision::Wait(_)));
 }
 
 #[test]
@@ -124,26 +124,26 @@
     let mut admission = new_admission(10);
     // For two seconds, one nested call is in flight at any moment.
     for at in 0..100 {
-        let Verdict::Run(ticket) = admission.arrive(ms(at * 20), call(true)).0 else {
+        let Decision::Run(ticket) = admission.arrive(ms(at * 20), call(true)).0 else {
             panic!("a nested call finds no slot");
         };
         admission.finish(ms(at * 20 + 19), ticket, true);
     }
     let started = (0..10)
-        .filter(|_| matches!(admission.arrive(ms(2_000), arrival(1, true)).0, Verdict::Run(_)))
+        .filter(|_| matches!(admission.arrive(ms(2_000), arrival(1, true)).0, Decision::Run(_)))
         .count();
     assert_eq!(started, 7, "one of the eight slots is reserved");
-    assert!(matches!(admission.arrive(ms(2_001), call(true)).0, Verdict::Run(_)));
+    assert!(matches!(admission.arrive(ms(2_001), call(true)).0, Decision::Run(_)));
     // Without nested calls for a while, no slot is reserved.
-    assert!(matches!(admission.arrive(ms(9_000), arrival(1, true)).0, Verdict::Refuse(_)));
+    assert!(matches!(admission.arrive(ms(9_000), arrival(1, true)).0, Decision::Refuse(_)));
 }
 
 #[test]
 fn a_nested_call_goes_before_queued_requests() {
     let mut admission = new_admission(2);
-    let Verdict::Run(first) = admission.arrive(ms(1), arrival(1, false)).0 else { panic!() };
-    let Verdict::Wait(other) = admission.arrive(ms(2), arrival(1, false)).0 else { panic!() };
-    let Verdict::Wait(call) = admission.arrive(ms(3), call(false)).0 else { panic!() };
+    let Decision::Run(first) = admission.arrive(ms(1), arrival(1, false)).0 else { panic!() };
+    let Decision::Wait(other) = admission.arrive(ms(2), arrival(1, false)).0 else { panic!() };
+    let Decision::Wait(call) = admission.arrive(ms(3), call(false)).0 else { panic!() };
     assert_eq!(admission.finish(ms(9), first, true), [admission::Action::Start(call)]);
     assert_eq!(admission.finish(ms(12), call, true), [admission::Action::Start(other)]);
 }
@@ -233,9 +233,9 @@
     let mut admission = new_admission(1);
     let usual = Some(Duration::from_millis(300));
     let until = |millis| Arrival { good_until: Some(ms(millis)), usual, ..arrival(1, false) };
-    let Verdict::Run(first) = admission.arrive(ms(0), until(800)).0 else { panic!() };
-    let Verdict::Wait(late) = admission.arrive(ms(1), until(200)).0 else { panic!() };
-    let Verdict::Wait(in_time) = admission.arrive(ms(2), until(800)).0 else { panic!() };
+    let Decision::Run(first) = admission.arrive(ms(0), until(800)).0 else { panic!() };
+    let Decision::Wait(late) = admission.arrive(ms(1), until(200)).0 else { panic!() };
+    let Decision::Wait(in_time) = admission.arrive(ms(2), until(800)).0 else { panic!() };
     assert_eq!(admission.finish(ms(10), first, true), [admission::Action::Start(in_time)]);
     assert_eq!(admission.finish(ms(20), in_time, true), [admission::Action::Start(late)]);
 }
--- a/crates/cherrystream-core/tests/room.rs
+++ b/crates/cherrystream-core/tests/room.rs
@@ -1,7 +1,7 @@
 //! The adaptive concurrency limit compared with fixed shares of the slots, for servers of several
 //! kinds.
 
-use cherrystream_core::admission::{self, Action, Admission, Arrival, Ticket, Verdict};
+use cherrystream_core::admission::{self, Action, Admission, Arrival, Decision, Ticket};
 use cherrystream_core::room::{Answer, Cause, Room, Work};
 use cherrystream_core::units::Timestamp;
 use rand::rngs::SmallRng;
@@ -131,17 +131,17 @@
             good_until: Some(useful_until),
             usual: None,
         };
-        let (verdict, actions) = self.admission.arrive(now, arrival);
+        let (decision, actions) = self.admission.arrive(now, arrival);
         self.handle(now, actions);
-        match verdict {
-            Verdict::Run(ticket) => {
+        match decision {
+            Decision::Run(ticket) => {
                 self.useful_until.insert(ticket, useful_until);
                 self.start(now, ticket);
             }
-            Verdict::Wait(ticket) => {
+            Decision::Wait(ticket) => {
                 self.useful_until.insert(ticket, useful_until);
             }
-            Verdict::Refuse(_) => {}
+            Decision::Refuse(_) => {}
         }
     }
 
--- a/crates/cherrystream-daemon/src/door.rs
+++ b/crates/cherrystream-daemon/src/door.rs
@@ -6,7 +6,7 @@
 pub use permit::Permit;
 
 use cherrystream_core::admission::{
-    self, Action, Admission, Arrival, Refusal, Sharer, Ticket, Verdict,
+    self, Action, Admission, Arrival, Decision, Refusal, Sharer, Ticket,
 };
 use cherrystream_core::callers::Callers;
 use cherrystream_core::cold_pace::ColdLimits;
@@ -207,15 +207,15 @@
         let mut inner = self.inner.lock();
         let is_cold = inner.admission.is_cold(now);
         let arrival = Arrival { usual: inner.times(is_cold).usual(kind), ..arrival };
-        let (verdict, actions) = inner.admission.arrive_for(now, arrival, sharer);
-        let entered = match verdict {
-            Verdict::Run(ticket) => Ok(Entered::Now(self.permit(ticket))),
-            Verdict::Wait(ticket) => {
+        let (decision, actions) = inner.admission.arrive_for(now, arrival, sharer);
+        let entered = match decision {
+            Decision::Run(ticket) => Ok(Entered::Now(self.permit(ticket))),
+            Decision::Wait(ticket) => {
                 let (tx, rx) = oneshot::channel();
                 inner.waiters.insert(ticket, tx);
                 Ok(Entered::Waits(ticket, rx))
             }
-            Verdict::Refuse(refusal) => Err(refusal),
+            Decision::Refuse(refusal) => Err(refusal),
         };
         let told = self.prepare(&mut inner, actions);
         drop(inner);
