--- a/crates/cherrystream-core/src/admission/fair.rs
+++ b/crates/cherrystream-core/src/admission/fair.rs
@@ -25,9 +25,9 @@
 /// Resolution in which usage is compared.
 const USAGE_UNITS_PER_SECOND: f64 = 1_000_000.0;
 
-/// A workspace that competes with others for a backend server.
+/// A flow of the fair queue: a workspace that competes with others for a backend server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sharer {
+pub struct Flow {
     /// Name of the workspace.
     pub workspace: Arc<str>,
     /// Weight relative to other workspaces, in thousandths of a request per second; `None` stands
@@ -82,12 +82,12 @@
 
 impl FairShare {
     /// Records a request of a flow and returns the usage of the flow.
-    pub fn on_request(&mut self, now: Timestamp, sharer: &Sharer) -> Usage {
-        self.evict_for(now, &sharer.workspace);
+    pub fn on_request(&mut self, now: Timestamp, flow: &Flow) -> Usage {
+        self.evict_for(now, &flow.workspace);
         let new =
-            Account { charged: 0.0, share: sharer.share, updated_at: now, last_request_at: now };
-        let account = self.accounts.entry(sharer.workspace.clone()).or_insert(new);
-        account.share = sharer.share;
+            Account { charged: 0.0, share: flow.share, updated_at: now, last_request_at: now };
+        let account = self.accounts.entry(flow.workspace.clone()).or_insert(new);
+        account.share = flow.share;
         account.last_request_at = now;
         let (charged, share) = (account.charged(now), account.share);
         let mean = self.mean_share(now);
@@ -95,8 +95,8 @@
     }
 
     /// Returns whether a flow has recently used more than its share, while others are active.
-    pub fn is_over_share(&self, now: Timestamp, sharer: &Sharer) -> bool {
-        let Some(account) = self.accounts.get(&sharer.workspace) else { return false };
+    pub fn is_over_share(&self, now: Timestamp, flow: &Flow) -> bool {
+        let Some(account) = self.accounts.get(&flow.workspace) else { return false };
         let mean = self.mean_share(now);
         let (mut charged, mut shares, mut others) = (0.0, 0.0, 0);
         for other in self.active(now) {
@@ -109,12 +109,12 @@
     }
 
     /// Charges a flow for a request that is admitted or queued.
-    pub fn on_admitted(&mut self, now: Timestamp, ticket: Ticket, sharer: &Sharer, work: Duration) {
+    pub fn on_admitted(&mut self, now: Timestamp, ticket: Ticket, flow: &Flow, work: Duration) {
         let seconds = work.as_secs_f64();
-        if let Some(account) = self.accounts.get_mut(&sharer.workspace) {
+        if let Some(account) = self.accounts.get_mut(&flow.workspace) {
             account.charge(now, seconds);
         }
-        let workspace = sharer.workspace.clone();
+        let workspace = flow.workspace.clone();
         self.waiting.insert(ticket, Charge { workspace, seconds, charged_at: now });
     }
 
--- a/crates/cherrystream-core/src/admission/mod.rs
+++ b/crates/cherrystream-core/src/admission/mod.rs
@@ -4,7 +4,7 @@
 mod fair;
 mod request;
 
-pub use fair::Sharer;
+pub use fair::Flow;
 pub use request::{Action, Arrival, Decision, Options, Rank, Refusal, Ticket};
 
 use crate::cold_pace::{ColdLimits, ColdPace};
@@ -156,12 +156,12 @@
         self.arrive_for(now, arrival, None)
     }
 
-    /// Decides on a request; `sharer` is the flow that it belongs to, if any.
+    /// Decides on a request; `flow` is the flow that it belongs to, if any.
     pub fn arrive_for(
         &mut self,
         now: Timestamp,
         arrival: Arrival,
-        sharer: Option<&Sharer>,
+        flow: Option<&Flow>,
     ) -> (Decision, Vec<Action>) {
         let mut actions = Vec::new();
         if let Some(reason) = self.closed_reason() {
@@ -171,11 +171,10 @@
             return (Decision::Refuse(self.refusal(Reason::DeadlineBeforeStart)), actions);
         };
         // Nested calls belong to no flow.
-        let sharer = sharer.filter(|_| !arrival.called);
+        let flow = flow.filter(|_| !arrival.called);
         let rank = arrival.rank(now);
-        let over_share = sharer.is_some_and(|sharer| self.fair_share.is_over_share(now, sharer));
-        let usage =
-            sharer.map_or(Usage::default(), |sharer| self.fair_share.on_request(now, sharer));
+        let over_share = flow.is_some_and(|flow| self.fair_share.is_over_share(now, flow));
+        let usage = flow.map_or(Usage::default(), |flow| self.fair_share.on_request(now, flow));
         let key = QueueKey { rank: Reverse(rank), usage, ticket: Ticket(self.next_ticket + 1) };
         if arrival.selective && self.is_busy(now, &arrival, key, over_share) {
             self.note_limit_reached(now);
@@ -185,7 +184,7 @@
         let ticket = key.ticket;
         if self.is_next(key) && self.has_slot(now, rank.called, over_share) {
             self.add_nested_call(now, rank.called);
-            self.charge(now, &arrival, ticket, sharer);
+            self.charge(now, &arrival, ticket, flow);
             self.start(now, ticket, rank.called, over_share);
             return (Decision::Run(ticket), actions);
         }
@@ -209,7 +208,7 @@
             }
         }
         self.add_nested_call(now, rank.called);
-        self.charge(now, &arrival, ticket, sharer);
+        self.charge(now, &arrival, ticket, flow);
         self.waiting.insert(key, Waiting { deadline: arrival.deadline, over_share });
         (Decision::Wait(ticket), actions)
     }
@@ -535,16 +534,10 @@
     }
 
     /// Charges a flow for a request that is admitted or queued.
-    fn charge(
-        &mut self,
-        now: Timestamp,
-        arrival: &Arrival,
-        ticket: Ticket,
-        sharer: Option<&Sharer>,
-    ) {
+    fn charge(&mut self, now: Timestamp, arrival: &Arrival, ticket: Ticket, flow: Option<&Flow>) {
         let work = arrival.usual.unwrap_or(self.latency);
-        if let Some(sharer) = sharer {
-            self.fair_share.on_admitted(now, ticket, sharer, work);
+        if let Some(flow) = flow {
+            self.fair_share.on_admitted(now, ticket, flow, work);
         }
     }
 
--- a/crates/cherrystream-core/tests/fair_shares.rs
+++ b/crates/cherrystream-core/tests/fair_shares.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbtest;
 use cherrystream_core::admission::{
-    self, Action, Admission, Arrival, Decision, Refusal, Sharer, Ticket,
+    self, Action, Admission, Arrival, Decision, Flow, Refusal, Ticket,
 };
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::units::Timestamp;
@@ -21,8 +21,8 @@
     Admission::new(admission::Options { slots, queue, ramp, share: 1.0, cold: None })
 }
 
-fn flow(workspace: &str, share: Option<f64>) -> Sharer {
-    Sharer { workspace: workspace.into(), share }
+fn flow(workspace: &str, share: Option<f64>) -> Flow {
+    Flow { workspace: workspace.into(), share }
 }
 
 fn waiting(weight: u32, until: u64) -> Arrival {
@@ -380,7 +380,7 @@
 fn the_account_of_a_hot_workspace_is_kept_among_many_others() {
     let mut admission = new_admission(1, 1);
     let hot = flow("hot", None);
-    let arrive = |admission: &mut Admission, at, flow: &Sharer| {
+    let arrive = |admission: &mut Admission, at, flow: &Flow| {
         admission.arrive_for(ms(at), waiting(1, 10_000), Some(flow))
     };
     let Decision::Run(mut running) = arrive(&mut admission, 1, &hot).0 else { panic!() };
--- a/crates/cherrystream-daemon/src/door.rs
+++ b/crates/cherrystream-daemon/src/door.rs
@@ -6,7 +6,7 @@
 pub use permit::Permit;
 
 use cherrystream_core::admission::{
-    self, Action, Admission, Arrival, Decision, Refusal, Sharer, Ticket,
+    self, Action, Admission, Arrival, Decision, Flow, Refusal, Ticket,
 };
 use cherrystream_core::callers::Callers;
 use cherrystream_core::cold_pace::ColdLimits;
@@ -164,7 +164,7 @@
         self.inner.lock().admission.set_cold(cold);
     }
 
-    /// Waits until a request of a kind is let in; `sharer` is its workspace, where there are workspaces.
+    /// Waits until a request of a kind is let in; `flow` is its workspace, where there are workspaces.
     ///
     /// # Errors
     ///
@@ -173,9 +173,9 @@
         self: &Arc<Self>,
         arrival: Arrival,
         kind: &Arc<str>,
-        sharer: Option<&Sharer>,
+        flow: Option<&Flow>,
     ) -> Result<Permit, Refusal> {
-        let permit = self.wait_for_permit(arrival, kind, sharer).await?;
+        let permit = self.wait_for_permit(arrival, kind, flow).await?;
         Ok(permit.begin(kind.clone()))
     }
 
@@ -183,9 +183,9 @@
         self: &Arc<Self>,
         arrival: Arrival,
         kind: &Arc<str>,
-        sharer: Option<&Sharer>,
+        flow: Option<&Flow>,
     ) -> Result<Permit, Refusal> {
-        let (ticket, rx) = match self.arrive(arrival, kind, sharer)? {
+        let (ticket, rx) = match self.arrive(arrival, kind, flow)? {
             Entered::Now(permit) => return Ok(permit),
             Entered::Waits(ticket, rx) => (ticket, rx),
         };
@@ -201,13 +201,13 @@
         self: &Arc<Self>,
         arrival: Arrival,
         kind: &str,
-        sharer: Option<&Sharer>,
+        flow: Option<&Flow>,
     ) -> Result<Entered, Refusal> {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         let is_cold = inner.admission.is_cold(now);
         let arrival = Arrival { usual: inner.times(is_cold).usual(kind), ..arrival };
-        let (decision, actions) = inner.admission.arrive_for(now, arrival, sharer);
+        let (decision, actions) = inner.admission.arrive_for(now, arrival, flow);
         let entered = match decision {
             Decision::Run(ticket) => Ok(Entered::Now(self.permit(ticket))),
             Decision::Wait(ticket) => {
--- a/crates/cherrystream-daemon/src/inbound/mod.rs
+++ b/crates/cherrystream-daemon/src/inbound/mod.rs
@@ -13,7 +13,7 @@
 use crate::suspects::{AlonePlace, SuspectWatch};
 use attempt::Attempt;
 use bytes::Bytes;
-use cherrystream_core::admission::{Arrival, Sharer};
+use cherrystream_core::admission::{Arrival, Flow};
 use cherrystream_core::attempts::{Attempts, Claimed, RequestKey};
 use cherrystream_core::call_times;
 use cherrystream_core::deadline::Deadline;
@@ -316,12 +316,12 @@
             usual: None,
         };
         self.hear_pace(door, &arrival, &call.kind).await;
-        let sharer = self.sharer(call);
+        let flow = self.flow(call);
         // Requests that are given up at the end free their slots, which nobody may take any more.
         let entered = tokio::select! {
             biased;
             () = self.phases.reached(Phase::Ending) => return Err(self.refuse(Reason::HostLeaving)),
-            entered = door.enter(arrival, &call.kind, sharer.as_ref()) => entered,
+            entered = door.enter(arrival, &call.kind, flow.as_ref()) => entered,
         };
         let permit = entered.map_err(|refusal| {
             if refusal.makes_way() {
@@ -340,11 +340,11 @@
 
     /// Returns the workspace for which a request shares a door with others, where there are workspaces. Its share is the
     /// rate that it may send. Requests of keyless routes count as one workspace.
-    fn sharer(&self, call: &InboundCall) -> Option<Sharer> {
+    fn flow(&self, call: &InboundCall) -> Option<Flow> {
         let routes = self.held.get().routes.filter(|routes| !routes.workspaces.is_empty())?;
         let workspace = call.workspace.clone().unwrap_or_default();
         let rate = routes.workspaces.get(&*workspace).map(|known| known.rate_milli_per_s);
         let share = rate.filter(|rate| *rate > 0).map(|rate| rate as f64);
-        Some(Sharer { workspace, share })
+        Some(Flow { workspace, share })
     }
 }
