--- a/crates/cherrystream-core/src/admission/mod.rs
+++ b/crates/cherrystream-core/src/admission/mod.rs
@@ -8,10 +8,10 @@
 pub use request::{Action, Arrival, Decision, Options, Rank, Refusal, Ticket};
 
 use crate::cold_pace::{ColdLimits, ColdPace};
-use crate::pace::Pace;
 use crate::reasons::Reason;
 use crate::reserve::Reserve;
 use crate::room::{self, Room};
+use crate::slowness::Slowness;
 use crate::units::{Timestamp, micros};
 use crate::warmth::Warmth;
 use cherrystream_schema::messages::ServerState;
@@ -84,7 +84,7 @@
     waiting: BTreeMap<QueueKey, Waiting>,
     fair_share: FairShare,
     latency: Duration,
-    pace: Pace,
+    slowness: Slowness,
     warmth: Warmth,
     cold_pace: ColdPace,
     /// Adaptive concurrency limit; replaces the fixed share of the slots.
@@ -105,7 +105,7 @@
             waiting: BTreeMap::new(),
             fair_share: FairShare::default(),
             latency: Duration::from_millis(5),
-            pace: Pace::default(),
+            slowness: Slowness::default(),
             warmth: Warmth::default(),
             cold_pace: ColdPace::default(),
             room: None,
@@ -231,12 +231,12 @@
 
     /// Records the slowness that the backend server reported.
     pub fn on_pace(&mut self, now: Timestamp, slowness: u32) {
-        self.pace.on_report(now, slowness);
+        self.slowness.on_report(now, slowness);
     }
 
     /// Returns whether the backend server should be probed for its slowness.
     pub fn wants_pace(&self, now: Timestamp) -> bool {
-        self.pace.needs_probe(now)
+        self.slowness.needs_probe(now)
     }
 
     /// Returns whether a request should wait for a new slowness report before it is decided on.
@@ -248,12 +248,12 @@
         let has_ample_capacity = taken <= AMPLE_CAPACITY_BELOW * f64::from(self.slots_now(now));
         arrival.selective
             && has_ample_capacity
-            && self.pace.needs_report_first(now, arrival.usual, within)
+            && self.slowness.needs_report_first(now, arrival.usual, within)
     }
 
     /// Records that a slowness probe timed out while a request waited for it.
     pub fn on_no_pace(&mut self, now: Timestamp) {
-        self.pace.on_probe_timeout(now);
+        self.slowness.on_probe_timeout(now);
     }
 
     /// Returns the warmth of the backend server.
@@ -331,7 +331,7 @@
 
     /// Returns the slowness of the backend server, in hundredths of the normal service time.
     pub fn slowness(&self, now: Timestamp) -> u32 {
-        self.pace.slowness(now)
+        self.slowness.current(now)
     }
 
     /// Returns whether a request is likely served better elsewhere: the backend server is too slow
@@ -344,8 +344,8 @@
         over_share: bool,
     ) -> bool {
         let within = arrival.good_until.map(|until| until.since(now));
-        if self.pace.is_too_slow(now, arrival.usual, within) {
-            self.pace.on_refused();
+        if self.slowness.is_too_slow(now, arrival.usual, within) {
+            self.slowness.on_refused();
             return true;
         }
         !self.is_next(key) || !self.has_slot(now, arrival.called, over_share)
@@ -417,7 +417,7 @@
             slots: self.slots_now(now),
             latency_us: micros(self.latency),
             oldest_us: micros(oldest),
-            slowness: self.pace.slowness(now),
+            slowness: self.slowness.current(now),
             state: self.state,
             sequence: self.sequence,
             incarnation,
--- a/crates/cherrystream-core/src/choose/server.rs
+++ b/crates/cherrystream-core/src/choose/server.rs
@@ -1,7 +1,7 @@
 //! What an outbound knows of one backend server.
 
 use super::refusals::Refusals;
-use crate::pace;
+use crate::slowness;
 use crate::units::Timestamp;
 use cherrystream_schema::messages::{Report, ServerState};
 use std::collections::BTreeMap;
@@ -183,7 +183,7 @@
         });
         if !stale {
             let has_room = report.queued == 0 && report.in_flight < report.slots;
-            if has_room && report.slowness <= pace::USUAL {
+            if has_room && report.slowness <= slowness::NORMAL {
                 self.refusals.on_room();
             }
             self.report = Some(report);
@@ -263,7 +263,7 @@
         let Some(report) = &self.report else { return 1.0 };
         let age = now.since(self.report_at).as_secs_f64();
         let worth = (-age / REPORT_WORTH.as_secs_f64()).exp();
-        let told = f64::from(report.slowness) / f64::from(pace::USUAL);
+        let told = f64::from(report.slowness) / f64::from(slowness::NORMAL);
         1.0 + (told - 1.0) * worth
     }
 
--- a/crates/cherrystream-core/src/room.rs
+++ b/crates/cherrystream-core/src/room.rs
@@ -7,7 +7,7 @@
 //! to be as fast as the one below: it is tried when requests need it, and given up if service times
 //! rise.
 
-use crate::pace::USUAL;
+use crate::slowness::NORMAL;
 use crate::units::Timestamp;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -229,7 +229,7 @@
             return;
         }
         let slowness = u32::midpoint(work.slowness_before, answer.slowness_after).max(1);
-        let seconds = work.took.as_secs_f64() * f64::from(USUAL) / f64::from(slowness);
+        let seconds = work.took.as_secs_f64() * f64::from(NORMAL) / f64::from(slowness);
         if answer.level <= self.initial {
             self.record_typical(work.kind, seconds);
         }
--- a/crates/cherrystream-core/src/pace.rs
+++ b/crates/cherrystream-core/src/slowness.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 /// Slowness of a backend server at its normal speed, in hundredths of the normal service time.
-pub const USUAL: u32 = 100;
+pub const NORMAL: u32 = 100;
 /// Slowness above which a backend server is slow for requests without a typical service time.
-const SLOW_ABOVE: u32 = 2 * USUAL;
+const SLOW_ABOVE: u32 = 2 * NORMAL;
 /// Validity of a report.
 const REPORT_TTL: Duration = Duration::from_millis(250);
 /// Age of a report that caused a refusal at which a new one is requested.
@@ -16,7 +16,7 @@
 const STALE_AFTER: Duration = Duration::from_millis(50);
 /// Assumed peak slowness before the first report, in hundredths: a backend server that reports
 /// slowness shares its host with others.
-const INITIAL_PEAK: u32 = 4 * USUAL;
+const INITIAL_PEAK: u32 = 4 * NORMAL;
 /// Time for which the peak slowness is kept.
 const PEAK_TTL: Duration = Duration::from_secs(10);
 /// Time after an unanswered probe in which no request waits for another.
@@ -24,7 +24,7 @@
 
 /// Last reported and recent peak slowness.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct Slowness {
     slowness: u32,
     reported_at: Option<Timestamp>,
     /// Whether the last report caused a refusal.
@@ -35,10 +35,10 @@
     no_probe_until: Timestamp,
 }
 
-impl Default for Pace {
+impl Default for Slowness {
     fn default() -> Self {
-        Pace {
-            slowness: USUAL,
+        Slowness {
+            slowness: NORMAL,
             reported_at: None,
             caused_refusal: false,
             peak: INITIAL_PEAK,
@@ -48,7 +48,7 @@
     }
 }
 
-impl Pace {
+impl Slowness {
     /// Records a report of the backend server.
     pub fn on_report(&mut self, now: Timestamp, slowness: u32) {
         self.slowness = slowness;
@@ -91,9 +91,9 @@
     }
 
     /// Returns the reported slowness while it is valid, the normal one otherwise.
-    pub fn slowness(&self, now: Timestamp) -> u32 {
+    pub fn current(&self, now: Timestamp) -> u32 {
         let fresh = self.reported_at.is_some_and(|at| now.since(at) < REPORT_TTL);
-        if fresh { self.slowness } else { USUAL }
+        if fresh { self.slowness } else { NORMAL }
     }
 
     /// Returns whether the backend server is too slow for a request with the typical service time
@@ -104,7 +104,7 @@
         typical_time: Option<Duration>,
         within: Option<Duration>,
     ) -> bool {
-        is_too_slow(self.slowness(now), typical_time, within)
+        is_too_slow(self.current(now), typical_time, within)
     }
 
     /// Returns whether a probe for a new report is due.
@@ -115,8 +115,8 @@
 
 fn is_too_slow(slowness: u32, typical_time: Option<Duration>, within: Option<Duration>) -> bool {
     match (typical_time, within) {
-        _ if slowness <= USUAL => false,
-        (Some(typical_time), Some(within)) => typical_time * slowness / USUAL > within,
+        _ if slowness <= NORMAL => false,
+        (Some(typical_time), Some(within)) => typical_time * slowness / NORMAL > within,
         _ => slowness > SLOW_ABOVE,
     }
 }
--- a/crates/cherrystream-core/src/usual_times.rs
+++ b/crates/cherrystream-core/src/usual_times.rs
@@ -1,6 +1,6 @@
 //! Typical service times of a backend server by kind of request, learned from its answers.
 
-use crate::pace::USUAL;
+use crate::slowness::NORMAL;
 use crate::units::Timestamp;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
 impl UsualTimes {
     /// Records an answer that took a time, at a slowness in hundredths of the normal service time.
     pub fn on_answer(&mut self, now: Timestamp, kind: &Arc<str>, took: Duration, slowness: u32) {
-        let sample = took.as_secs_f64() * f64::from(USUAL) / f64::from(slowness.max(1));
+        let sample = took.as_secs_f64() * f64::from(NORMAL) / f64::from(slowness.max(1));
         if let Some(average) = self.by_kind.get_mut(kind) {
             average.record(now, sample);
             return;
--- a/crates/cherrystream-core/tests/overload.rs
+++ b/crates/cherrystream-core/tests/overload.rs
@@ -4,8 +4,8 @@
 use cherrystream_core::admission::{self, Admission, Arrival, Decision};
 use cherrystream_core::callers::Callers;
 use cherrystream_core::log_budget::LogBudget;
-use cherrystream_core::pace::Pace;
 use cherrystream_core::reasons::Reason;
+use cherrystream_core::slowness::Slowness;
 use cherrystream_core::units::Timestamp;
 use cherrystream_core::usual_times::UsualTimes;
 use rand::rngs::SmallRng;
@@ -98,15 +98,15 @@
 
 #[test]
 fn a_slow_server_is_probed_after_a_refusal_and_its_report_expires() {
-    let mut pace = Pace::default();
-    assert!(!pace.needs_probe(ms(1)));
-    pace.on_report(ms(100), 400);
-    assert!(pace.is_too_slow(ms(120), None, None));
-    assert!(!pace.needs_probe(ms(200)), "no request was refused");
-    pace.on_refused();
-    assert!(!pace.needs_probe(ms(120)));
-    assert!(pace.needs_probe(ms(200)));
-    assert!(!pace.is_too_slow(ms(600), None, None));
+    let mut slowness = Slowness::default();
+    assert!(!slowness.needs_probe(ms(1)));
+    slowness.on_report(ms(100), 400);
+    assert!(slowness.is_too_slow(ms(120), None, None));
+    assert!(!slowness.needs_probe(ms(200)), "no request was refused");
+    slowness.on_refused();
+    assert!(!slowness.needs_probe(ms(120)));
+    assert!(slowness.needs_probe(ms(200)));
+    assert!(!slowness.is_too_slow(ms(600), None, None));
 }
 
 #[test]
--- a/crates/cherrystream-daemon/src/door.rs
+++ b/crates/cherrystream-daemon/src/door.rs
@@ -11,9 +11,9 @@
 use cherrystream_core::callers::Callers;
 use cherrystream_core::cold_pace::ColdLimits;
 use cherrystream_core::measuring::{Check, Health, MeasuringBudget};
-use cherrystream_core::pace;
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::room::{self, Room};
+use cherrystream_core::slowness;
 use cherrystream_core::suspects::Ends;
 use cherrystream_core::units::Timestamp;
 use cherrystream_core::usual_times::UsualTimes;
@@ -356,7 +356,7 @@
     /// Counts work that has ended for the roll-out that is under way.
     fn count(&mut self, now: Timestamp, work: &Work, ending: Ending) {
         let slowness = u32::midpoint(work.slowness, self.admission.slowness(now));
-        let took = now.since(work.since) * pace::USUAL / slowness.max(1);
+        let took = now.since(work.since) * slowness::NORMAL / slowness.max(1);
         self.trial.count(now, work, ending, took);
     }
 
