--- a/crates/cherrystream-core/src/admission/mod.rs
+++ b/crates/cherrystream-core/src/admission/mod.rs
@@ -230,19 +230,19 @@
     }
 
     /// Records the slowness that the backend server reported.
-    pub fn on_pace(&mut self, now: Timestamp, slowness: u32) {
+    pub fn on_slowness(&mut self, now: Timestamp, slowness: u32) {
         self.slowness.on_report(now, slowness);
     }
 
     /// Returns whether the backend server should be probed for its slowness.
-    pub fn wants_pace(&self, now: Timestamp) -> bool {
+    pub fn needs_slowness_probe(&self, now: Timestamp) -> bool {
         self.slowness.needs_probe(now)
     }
 
     /// Returns whether a request should wait for a new slowness report before it is decided on.
     /// Only when free slots are ample: when they are scarce, many answers carry reports, and a
     /// refused request finds no better backend server.
-    pub fn wants_pace_first(&self, now: Timestamp, arrival: &Arrival) -> bool {
+    pub fn needs_slowness_first(&self, now: Timestamp, arrival: &Arrival) -> bool {
         let within = arrival.good_until.map(|until| until.since(now));
         let taken = (self.running.len() + self.waiting.len()) as f64;
         let has_ample_capacity = taken <= AMPLE_CAPACITY_BELOW * f64::from(self.slots_now(now));
@@ -252,7 +252,7 @@
     }
 
     /// Records that a slowness probe timed out while a request waited for it.
-    pub fn on_no_pace(&mut self, now: Timestamp) {
+    pub fn on_slowness_timeout(&mut self, now: Timestamp) {
         self.slowness.on_probe_timeout(now);
     }
 
--- a/crates/cherrystream-core/tests/fresh_words.rs
+++ b/crates/cherrystream-core/tests/fresh_words.rs
@@ -77,7 +77,7 @@
             let done: Vec<(Timestamp, Ticket)> =
                 server.in_flight.extract_if(.., |(ends, _)| *ends <= now).collect();
             for (_, ticket) in done {
-                server.admission.on_pace(now, server.slowness);
+                server.admission.on_slowness(now, server.slowness);
                 server.admission.finish(now, ticket, true);
             }
         }
@@ -104,10 +104,10 @@
     fn offer(&mut self, chosen: usize, arrival: Arrival) -> bool {
         let server = &mut self.servers[chosen];
         let mut now = self.now;
-        if self.probes && server.admission.wants_pace_first(now, &arrival) {
+        if self.probes && server.admission.needs_slowness_first(now, &arrival) {
             self.counts.probed += 1;
             now = now + PROBE_TIME;
-            server.admission.on_pace(now, server.slowness);
+            server.admission.on_slowness(now, server.slowness);
         }
         let ticket = match server.admission.arrive(now, arrival).0 {
             Decision::Run(ticket) => ticket,
@@ -167,16 +167,19 @@
         good_until: Some(now + GOOD_FOR),
         usual: Some(TYPICAL),
     };
-    assert!(!admission.wants_pace_first(now, &arrival(now)), "it has never reported its slowness");
-    admission.on_pace(now, 400);
-    assert!(!admission.wants_pace_first(now, &arrival(now)), "the report is fresh");
+    assert!(
+        !admission.needs_slowness_first(now, &arrival(now)),
+        "it has never reported its slowness"
+    );
+    admission.on_slowness(now, 400);
+    assert!(!admission.needs_slowness_first(now, &arrival(now)), "the report is fresh");
     let later = now + Duration::from_millis(100);
-    assert!(admission.wants_pace_first(later, &arrival(later)));
-    admission.on_no_pace(later);
+    assert!(admission.needs_slowness_first(later, &arrival(later)));
+    admission.on_slowness_timeout(later);
     let soon = later + Duration::from_millis(900);
-    assert!(!admission.wants_pace_first(soon, &arrival(soon)));
+    assert!(!admission.needs_slowness_first(soon, &arrival(soon)));
     let again = later + Duration::from_millis(1_000);
-    assert!(admission.wants_pace_first(again, &arrival(again)));
+    assert!(admission.needs_slowness_first(again, &arrival(again)));
 }
 
 #[test]
@@ -195,7 +198,7 @@
             usual: Some(TYPICAL),
         };
         // After ten seconds of reports the peak is known to be low.
-        assert!(round <= 21 || !admission.wants_pace_first(now, &arrival), "round {round}");
-        admission.on_pace(now, 130);
+        assert!(round <= 21 || !admission.needs_slowness_first(now, &arrival), "round {round}");
+        admission.on_slowness(now, 130);
     }
 }
--- a/crates/cherrystream-core/tests/overload.rs
+++ b/crates/cherrystream-core/tests/overload.rs
@@ -46,17 +46,17 @@
 #[test]
 fn a_selective_request_is_refused_by_a_slow_server() {
     let mut admission = new_admission(10);
-    admission.on_pace(ms(1_000), 400);
+    admission.on_slowness(ms(1_000), 400);
     assert_eq!(reason(admission.arrive(ms(1_010), arrival(1, true)).0), Some(Reason::BusyNow));
     assert!(matches!(admission.arrive(ms(1_010), arrival(1, false)).0, Decision::Run(_)));
-    admission.on_pace(ms(1_050), 100);
+    admission.on_slowness(ms(1_050), 100);
     assert!(matches!(admission.arrive(ms(1_060), arrival(1, true)).0, Decision::Run(_)));
 }
 
 #[test]
 fn a_slow_server_accepts_requests_that_it_still_answers_in_time() {
     let mut admission = new_admission(10);
-    admission.on_pace(ms(1_000), 200);
+    admission.on_slowness(ms(1_000), 200);
     let with_times = |usual: u64, until: u64| Arrival {
         usual: Some(Duration::from_millis(usual)),
         good_until: Some(ms(until)),
@@ -68,7 +68,7 @@
         Some(Reason::BusyNow)
     );
     // At normal speed the slowness doesn't make an answer late.
-    admission.on_pace(ms(1_050), 100);
+    admission.on_slowness(ms(1_050), 100);
     assert!(matches!(admission.arrive(ms(1_060), with_times(100, 1_100)).0, Decision::Run(_)));
 }
 
--- a/crates/cherrystream-core/tests/room.rs
+++ b/crates/cherrystream-core/tests/room.rs
@@ -98,7 +98,7 @@
         let is_slow_period = period.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 62 == 0;
         let factor = if is_slow_period { self.server.slow_factor } else { 1.0 };
         if self.server.reports_slowness && self.reported.insert(period) {
-            self.admission.on_pace(now, (factor * 100.0) as u32);
+            self.admission.on_slowness(now, (factor * 100.0) as u32);
         }
         let is_cold = now.since(Timestamp::default()) < self.server.cold;
         if is_cold { factor * 2.0 } else { factor }
--- a/crates/cherrystream-daemon/src/door.rs
+++ b/crates/cherrystream-daemon/src/door.rs
@@ -276,7 +276,7 @@
 
     /// Takes the backend server's word on its load.
     pub fn on_load(&self, load: &ServerLoad) {
-        self.inner.lock().admission.on_pace(self.clock.now(), load.slowness);
+        self.inner.lock().admission.on_slowness(self.clock.now(), load.slowness);
     }
 
     /// Takes the word of a report on the warmth of the backend server.
@@ -328,17 +328,17 @@
         let mut inner = self.inner.lock();
         let is_cold = inner.admission.is_cold(now);
         let arrival = Arrival { usual: inner.times(is_cold).usual(kind), ..*arrival };
-        !is_cold && inner.admission.wants_pace_first(now, &arrival)
+        !is_cold && inner.admission.needs_slowness_first(now, &arrival)
     }
 
     /// Notes that the backend server gave no word on its pace while a request waited for it.
     pub fn on_no_pace(&self) {
-        self.inner.lock().admission.on_no_pace(self.clock.now());
+        self.inner.lock().admission.on_slowness_timeout(self.clock.now());
     }
 
     /// Returns whether the backend server should be asked for its load.
     pub fn wants_load(&self) -> bool {
-        self.inner.lock().admission.wants_pace(self.clock.now())
+        self.inner.lock().admission.needs_slowness_probe(self.clock.now())
     }
 
     /// Lets time pass.
