--- a/crates/cherrystream-core/src/admission/mod.rs
+++ b/crates/cherrystream-core/src/admission/mod.rs
@@ -8,9 +8,9 @@
 pub use request::{Action, Arrival, Decision, Options, Rank, Refusal, Ticket};
 
 use crate::cold_pace::{ColdLimits, ColdPace};
+use crate::concurrency_limit::{self, ConcurrencyLimit};
 use crate::reasons::Reason;
 use crate::reserve::Reserve;
-use crate::room::{self, Room};
 use crate::slowness::Slowness;
 use crate::units::{Timestamp, micros};
 use crate::warmth::Warmth;
@@ -88,7 +88,7 @@
     warmth: Warmth,
     cold_pace: ColdPace,
     /// Adaptive concurrency limit; replaces the fixed share of the slots.
-    room: Option<Room>,
+    concurrency_limit: Option<ConcurrencyLimit>,
     next_ticket: u64,
     sequence: u64,
 }
@@ -108,7 +108,7 @@
             slowness: Slowness::default(),
             warmth: Warmth::default(),
             cold_pace: ColdPace::default(),
-            room: None,
+            concurrency_limit: None,
             next_ticket: 0,
             sequence: 0,
         }
@@ -116,34 +116,40 @@
 
     /// Replaces the settings; requests that were admitted stay.
     pub fn set_options(&mut self, opts: Options) {
-        if let Some(room) = self.room.take_if(|room| room.slots() != opts.slots) {
-            self.room = Some(room.with_slots(opts.slots, opts.share));
+        if let Some(limit) = self.concurrency_limit.take_if(|limit| limit.slots() != opts.slots) {
+            self.concurrency_limit = Some(limit.with_slots(opts.slots, opts.share));
         }
         self.opts = opts;
     }
 
-    /// Replaces the fixed share of the slots by an adaptive concurrency limit. `room` may hold what
+    /// Replaces the fixed share of the slots by an adaptive concurrency limit. `limit` may hold what
     /// was learned from an earlier instance.
-    pub fn learn_room(&mut self, room: Room) {
-        self.room = Some(room);
+    pub fn set_concurrency_limit(&mut self, limit: ConcurrencyLimit) {
+        self.concurrency_limit = Some(limit);
     }
 
     /// Returns the adaptive concurrency limit, if there is one.
-    pub fn room(&mut self) -> Option<&mut Room> {
-        self.room.as_mut()
+    pub fn concurrency_limit(&mut self) -> Option<&mut ConcurrencyLimit> {
+        self.concurrency_limit.as_mut()
     }
 
     /// Records the service time of an answered request, before [`Admission::finish`]. Service times
     /// of a cold backend server are ignored: they don't depend on concurrency alone.
-    pub fn on_worked(&mut self, now: Timestamp, ticket: Ticket, work: &room::Work<'_>) {
+    pub fn on_worked(
+        &mut self,
+        now: Timestamp,
+        ticket: Ticket,
+        work: &concurrency_limit::Work<'_>,
+    ) {
         if self.is_cold(now) {
             return;
         }
         let slowness_after = self.slowness(now);
         let Some(running) = self.running.get(&ticket) else { return };
-        let Some(room) = &mut self.room else { return };
-        let answer = room::Answer { work: *work, level: running.level, slowness_after };
-        room.on_answer(now, &answer);
+        let Some(limit) = &mut self.concurrency_limit else { return };
+        let answer =
+            concurrency_limit::Answer { work: *work, level: running.level, slowness_after };
+        limit.on_answer(now, &answer);
     }
 
     /// Replaces the limits that apply while the backend server is cold.
@@ -459,8 +465,8 @@
     }
 
     fn slots_used(&self) -> u32 {
-        if let Some(room) = &self.room {
-            return room.limit();
+        if let Some(limit) = &self.concurrency_limit {
+            return limit.limit();
         }
         ((f64::from(self.opts.slots) * self.opts.share) as u32).max(1)
     }
@@ -498,8 +504,8 @@
     /// Records that a request found no slot, if the concurrency limit is the reason.
     fn note_limit_reached(&mut self, now: Timestamp) {
         let is_full = self.running.len() >= self.slots_used() as usize;
-        if let Some(room) = self.room.as_mut().filter(|_| is_full) {
-            room.on_limit_reached(now);
+        if let Some(limit) = self.concurrency_limit.as_mut().filter(|_| is_full) {
+            limit.on_limit_reached(now);
         }
     }
 
--- a/crates/cherrystream-core/src/room.rs
+++ b/crates/cherrystream-core/src/concurrency_limit.rs
@@ -169,7 +169,7 @@
 
 /// Adaptive concurrency limit.
 #[derive(Clone, Debug)]
-pub struct Room {
+pub struct ConcurrencyLimit {
     slots: u32,
     /// Limit before any samples; levels up to it define the typical times.
     initial: u32,
@@ -180,16 +180,16 @@
     is_explored: bool,
     next_trial_at: Timestamp,
     pause: Duration,
-    /// Changes since the last [`Room::take_changes`].
+    /// Changes since the last [`ConcurrencyLimit::take_changes`].
     changes: Vec<Change>,
 }
 
-impl Room {
+impl ConcurrencyLimit {
     /// Creates the limit of a server with `slots`, of which `share` is used initially.
-    pub fn new(slots: u32, share: f64) -> Room {
+    pub fn new(slots: u32, share: f64) -> ConcurrencyLimit {
         let slots = slots.max(1);
         let initial = ((f64::from(slots) * share) as u32).clamp(1, slots);
-        Room {
+        ConcurrencyLimit {
             slots,
             initial,
             limit: initial,
@@ -203,8 +203,8 @@
     }
 
     /// Keeps what was learned for a server with the same number of slots; starts anew otherwise.
-    pub fn with_slots(self, slots: u32, share: f64) -> Room {
-        if slots == self.slots { self } else { Room::new(slots, share) }
+    pub fn with_slots(self, slots: u32, share: f64) -> ConcurrencyLimit {
+        if slots == self.slots { self } else { ConcurrencyLimit::new(slots, share) }
     }
 
     /// Returns the number of slots of the server.
--- a/crates/cherrystream-core/tests/room.rs
+++ b/crates/cherrystream-core/tests/concurrency_limit.rs
@@ -2,7 +2,7 @@
 //! kinds.
 
 use cherrystream_core::admission::{self, Action, Admission, Arrival, Decision, Ticket};
-use cherrystream_core::room::{Answer, Cause, Room, Work};
+use cherrystream_core::concurrency_limit::{Answer, Cause, ConcurrencyLimit, Work};
 use cherrystream_core::units::Timestamp;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -78,7 +78,7 @@
             ..admission::Options::default()
         });
         if adaptive {
-            admission.learn_room(Room::new(server.slots, share));
+            admission.set_concurrency_limit(ConcurrencyLimit::new(server.slots, share));
         }
         World {
             server,
@@ -275,7 +275,7 @@
 }
 
 /// Records answers of one level with a service time in milliseconds.
-fn record(limit: &mut Room, now: u64, level: u32, took_ms: u64, answers: u32) {
+fn record(limit: &mut ConcurrencyLimit, now: u64, level: u32, took_ms: u64, answers: u32) {
     let kind: Arc<str> = "quotes".into();
     let took = Duration::from_millis(took_ms);
     for _ in 0..answers {
@@ -287,7 +287,7 @@
 
 #[test]
 fn the_limit_rises_after_enough_samples_and_falls_when_answers_are_slower() {
-    let mut limit = Room::new(10, 0.8);
+    let mut limit = ConcurrencyLimit::new(10, 0.8);
     assert_eq!(limit.limit(), 8);
     record(&mut limit, 1, 8, 100, 16);
     assert_eq!(limit.limit(), 10);
@@ -302,7 +302,7 @@
 
 #[test]
 fn higher_levels_are_tried_again_after_a_pause_when_the_limit_is_reached() {
-    let mut limit = Room::new(6, 0.8);
+    let mut limit = ConcurrencyLimit::new(6, 0.8);
     record(&mut limit, 1, 4, 100, 16);
     record(&mut limit, 2, 6, 200, 30);
     record(&mut limit, 3, 5, 200, 30);
@@ -318,7 +318,7 @@
 
 #[test]
 fn a_level_without_gain_is_skipped_for_a_higher_one_with_gain() {
-    let mut limit = Room::new(6, 0.8);
+    let mut limit = ConcurrencyLimit::new(6, 0.8);
     record(&mut limit, 1, 4, 100, 16);
     record(&mut limit, 2, 5, 145, 30);
     record(&mut limit, 2, 6, 145, 30);
@@ -327,7 +327,7 @@
 
 #[test]
 fn reported_slowness_does_not_lower_the_limit() {
-    let mut limit = Room::new(6, 0.8);
+    let mut limit = ConcurrencyLimit::new(6, 0.8);
     record(&mut limit, 1, 4, 100, 16);
     let kind: Arc<str> = "quotes".into();
     for (before, after) in [(300, 300), (100, 300)].repeat(20) {
@@ -340,7 +340,7 @@
 
 #[test]
 fn a_new_instance_keeps_the_limit_of_one_with_the_same_slots() {
-    let mut limit = Room::new(10, 0.8);
+    let mut limit = ConcurrencyLimit::new(10, 0.8);
     record(&mut limit, 1, 8, 100, 16);
     record(&mut limit, 2, 10, 200, 20);
     record(&mut limit, 2, 9, 200, 20);
@@ -355,7 +355,7 @@
 fn the_limit_stays_between_its_floor_and_the_slots() {
     arbtest::arbtest(|u| {
         let slots = u.int_in_range(1..=40)?;
-        let mut limit = Room::new(slots, 0.8);
+        let mut limit = ConcurrencyLimit::new(slots, 0.8);
         for i in 0..400 {
             let level = u.int_in_range(1..=slots)?;
             record(&mut limit, i * 100, level, u.int_in_range(0..=2_000)?, 1);
--- a/crates/cherrystream-daemon/src/door.rs
+++ b/crates/cherrystream-daemon/src/door.rs
@@ -10,9 +10,9 @@
 };
 use cherrystream_core::callers::Callers;
 use cherrystream_core::cold_pace::ColdLimits;
+use cherrystream_core::concurrency_limit::{self, ConcurrencyLimit};
 use cherrystream_core::measuring::{Check, Health, MeasuringBudget};
 use cherrystream_core::reasons::Reason;
-use cherrystream_core::room::{self, Room};
 use cherrystream_core::slowness;
 use cherrystream_core::suspects::Ends;
 use cherrystream_core::units::Timestamp;
@@ -144,19 +144,19 @@
     }
 
     /// Learns how much the backend server can take, from what is known of it or of its predecessor.
-    pub fn learn_room(&self, room: Room) {
-        self.inner.lock().admission.learn_room(room);
+    pub fn learn_room(&self, room: ConcurrencyLimit) {
+        self.inner.lock().admission.set_concurrency_limit(room);
     }
 
     /// Returns what is learned of how much the backend server can take.
-    pub fn room(&self) -> Option<Room> {
-        self.inner.lock().admission.room().cloned()
+    pub fn room(&self) -> Option<ConcurrencyLimit> {
+        self.inner.lock().admission.concurrency_limit().cloned()
     }
 
     /// Returns the changes of how much the backend server can take since it was last asked.
-    pub fn take_room_changes(&self) -> Vec<room::Change> {
+    pub fn take_room_changes(&self) -> Vec<concurrency_limit::Change> {
         let mut inner = self.inner.lock();
-        inner.admission.room().map(Room::take_changes).unwrap_or_default()
+        inner.admission.concurrency_limit().map(ConcurrencyLimit::take_changes).unwrap_or_default()
     }
 
     /// Changes what the backend server takes while it is cold.
@@ -362,7 +362,7 @@
 
     /// Learns from an answer how long such work takes at the usual pace.
     fn learn(&mut self, now: Timestamp, ticket: Ticket, work: &Work) {
-        let done = room::Work {
+        let done = concurrency_limit::Work {
             kind: &work.kind,
             took: now.since(work.since),
             slowness_before: work.slowness,
--- a/crates/cherrystream-daemon/src/doors.rs
+++ b/crates/cherrystream-daemon/src/doors.rs
@@ -5,9 +5,9 @@
 use crate::metrics::{self, Metrics, ReasonLabel, ServerLabel};
 use cherrystream_core::admission;
 use cherrystream_core::cold_pace::ColdLimits;
+use cherrystream_core::concurrency_limit::{self, Change, ConcurrencyLimit};
 use cherrystream_core::measuring::Check;
 use cherrystream_core::rollout;
-use cherrystream_core::room::{self, Change, Room};
 use cherrystream_net::clock::Clock;
 use cherrystream_net::interface::{BadReport, Fault, Misreport};
 use cherrystream_net::pool::Pool;
@@ -260,13 +260,17 @@
         let learns = match self.opts.room {
             RoomKind::Fixed => false,
             RoomKind::Learned => true,
-            RoomKind::LearnedIfRounded => room::loses_by_rounding(opts.slots, opts.share),
+            RoomKind::LearnedIfRounded => {
+                concurrency_limit::loses_by_rounding(opts.slots, opts.share)
+            }
         };
         if !learns {
             return;
         }
         let known = predecessor.filter(|old| old.id.service == door.id.service);
-        let room = known.and_then(Door::room).unwrap_or_else(|| Room::new(opts.slots, opts.share));
+        let room = known
+            .and_then(Door::room)
+            .unwrap_or_else(|| ConcurrencyLimit::new(opts.slots, opts.share));
         door.learn_room(room.with_slots(opts.slots, opts.share));
     }
 
--- a/crates/cherrystream-daemon/tests/rooms.rs
+++ b/crates/cherrystream-daemon/tests/rooms.rs
@@ -1,6 +1,6 @@
 //! The learned room behind the doors of a host.
 
-use cherrystream_core::room::{Answer, Room, Work};
+use cherrystream_core::concurrency_limit::{Answer, ConcurrencyLimit, Work};
 use cherrystream_core::settings;
 use cherrystream_core::units::Timestamp;
 use cherrystream_daemon::doors::{DoorOptions, Doors};
@@ -34,8 +34,8 @@
 }
 
 /// Returns the room of a server of ten slots that answers ever more slowly from the sixth on.
-fn learned() -> Room {
-    let mut room = Room::new(10, 0.8);
+fn learned() -> ConcurrencyLimit {
+    let mut room = ConcurrencyLimit::new(10, 0.8);
     let kind: Arc<str> = "quotes".into();
     for _ in 0..30 {
         for (level, took_ms) in [(5, 100), (6, 200), (7, 300), (8, 400), (9, 400), (10, 400)] {
