--- a/crates/cherrystream-core/src/admission/mod.rs
+++ b/crates/cherrystream-core/src/admission/mod.rs
@@ -135,7 +135,7 @@
 
     /// Records the service time of an answered request, before [`Admission::finish`]. Service times
     /// of a cold backend server are ignored: they don't depend on concurrency alone.
-    pub fn on_worked(
+    pub fn on_service_time(
         &mut self,
         now: Timestamp,
         ticket: Ticket,
--- a/crates/cherrystream-core/tests/concurrency_limit.rs
+++ b/crates/cherrystream-core/tests/concurrency_limit.rs
@@ -147,7 +147,7 @@
 
     fn end(&mut self, now: Timestamp, ticket: Ticket, took: Duration, slowness_before: u32) {
         let kind = self.kind.clone();
-        self.admission.on_worked(now, ticket, &Work { kind: &kind, took, slowness_before });
+        self.admission.on_service_time(now, ticket, &Work { kind: &kind, took, slowness_before });
         self.served += u32::from(now <= self.useful_until[&ticket]);
         let actions = self.admission.finish(now, ticket, true);
         self.handle(now, actions);
--- a/crates/cherrystream-daemon/src/door.rs
+++ b/crates/cherrystream-daemon/src/door.rs
@@ -367,7 +367,7 @@
             took: now.since(work.since),
             slowness_before: work.slowness,
         };
-        self.admission.on_worked(now, ticket, &done);
+        self.admission.on_service_time(now, ticket, &done);
         // The pace may have changed meanwhile: the mean of both ends stands for all of the time.
         let slowness = u32::midpoint(work.slowness, self.admission.slowness(now));
         let took = now.since(work.since);
