--- a/crates/cherrystream-core/src/admission/mod.rs
+++ b/crates/cherrystream-core/src/admission/mod.rs
@@ -7,7 +7,7 @@
 pub use fair::Flow;
 pub use request::{Action, Arrival, Decision, Options, Rank, Refusal, Ticket};
 
-use crate::cold_pace::{ColdLimits, ColdPace};
+use crate::cold_rate_limit::{ColdLimits, ColdRateLimit};
 use crate::concurrency_limit::{self, ConcurrencyLimit};
 use crate::reasons::Reason;
 use crate::reserve::Reserve;
@@ -86,7 +86,7 @@
     latency: Duration,
     slowness: Slowness,
     warmth: Warmth,
-    cold_pace: ColdPace,
+    cold_rate_limit: ColdRateLimit,
     /// Adaptive concurrency limit; replaces the fixed share of the slots.
     concurrency_limit: Option<ConcurrencyLimit>,
     next_ticket: u64,
@@ -107,7 +107,7 @@
             latency: Duration::from_millis(5),
             slowness: Slowness::default(),
             warmth: Warmth::default(),
-            cold_pace: ColdPace::default(),
+            cold_rate_limit: ColdRateLimit::default(),
             concurrency_limit: None,
             next_ticket: 0,
             sequence: 0,
@@ -284,18 +284,18 @@
             && !running.sent
         {
             running.sent = true;
-            self.cold_pace.on_sent(now);
+            self.cold_rate_limit.on_sent(now);
         }
     }
 
     /// Records that the instance is new: no earlier process sent requests to it.
     pub fn on_new(&mut self) {
-        self.cold_pace.on_new();
+        self.cold_rate_limit.on_new();
     }
 
     /// Records a probe of the health endpoint; a cold backend server counts it as a request.
     pub fn on_asked(&mut self, now: Timestamp) {
-        self.cold_pace.on_sent(now);
+        self.cold_rate_limit.on_sent(now);
     }
 
     fn cold_limits(&self, now: Timestamp) -> Option<ColdLimits> {
@@ -304,7 +304,7 @@
 
     fn cold_limit_allows(&mut self, now: Timestamp) -> bool {
         let Some(limits) = self.cold_limits(now) else { return true };
-        self.cold_pace.allows(now, &limits, self.unsent())
+        self.cold_rate_limit.allows(now, &limits, self.unsent())
     }
 
     /// Returns the number of admitted requests that are not sent yet.
@@ -317,7 +317,7 @@
     fn cold_wait(&mut self, now: Timestamp, rank: Rank) -> Option<Duration> {
         let limits = self.cold_limits(now)?;
         let ahead = self.waiting.keys().filter(|key| key.rank.0 >= rank).count();
-        Some(self.cold_pace.wait(now, &limits, ahead + self.unsent()))
+        Some(self.cold_rate_limit.wait(now, &limits, ahead + self.unsent()))
     }
 
     /// Refuses a request that a cold backend server cannot start in time: within its deadline, and
--- a/crates/cherrystream-core/src/admission/request.rs
+++ b/crates/cherrystream-core/src/admission/request.rs
@@ -1,6 +1,6 @@
 //! Requests, settings and decisions of admission control.
 
-use crate::cold_pace::ColdLimits;
+use crate::cold_rate_limit::ColdLimits;
 use crate::reasons::Reason;
 use crate::units::Timestamp;
 use std::time::Duration;
--- a/crates/cherrystream-core/src/cold_pace.rs
+++ b/crates/cherrystream-core/src/cold_rate_limit.rs
@@ -35,13 +35,13 @@
 /// Counts requests sent to a backend server. It counts while the server is warm as well, as that
 /// may become cold at any time.
 #[derive(Debug, Default)]
-pub struct ColdPace {
+pub struct ColdRateLimit {
     sent: VecDeque<Timestamp>,
     /// Whether the instance is new: no earlier process sent requests to it.
     is_new: bool,
 }
 
-impl ColdPace {
+impl ColdRateLimit {
     /// Records that the instance is new.
     pub fn on_new(&mut self) {
         self.is_new = true;
--- a/crates/cherrystream-core/src/lib.rs
+++ b/crates/cherrystream-core/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod call_times;
 pub mod callers;
 pub mod choose;
-pub mod cold_pace;
+pub mod cold_rate_limit;
 pub mod concurrency_limit;
 pub mod deadline;
 pub mod distribution;
--- a/crates/cherrystream-core/tests/cold.rs
+++ b/crates/cherrystream-core/tests/cold.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbtest;
 use cherrystream_core::admission::{Action, Admission, Arrival, Decision, Options, Ticket};
-use cherrystream_core::cold_pace::ColdLimits;
+use cherrystream_core::cold_rate_limit::ColdLimits;
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::units::Timestamp;
 use cherrystream_core::warmth::Warmth;
--- a/crates/cherrystream-daemon/src/door.rs
+++ b/crates/cherrystream-daemon/src/door.rs
@@ -9,7 +9,7 @@
     self, Action, Admission, Arrival, Decision, Flow, Refusal, Ticket,
 };
 use cherrystream_core::callers::Callers;
-use cherrystream_core::cold_pace::ColdLimits;
+use cherrystream_core::cold_rate_limit::ColdLimits;
 use cherrystream_core::concurrency_limit::{self, ConcurrencyLimit};
 use cherrystream_core::measuring::{Check, Health, MeasuringBudget};
 use cherrystream_core::reasons::Reason;
--- a/crates/cherrystream-daemon/src/doors.rs
+++ b/crates/cherrystream-daemon/src/doors.rs
@@ -4,7 +4,7 @@
 use crate::held::Held;
 use crate::metrics::{self, Metrics, ReasonLabel, ServerLabel};
 use cherrystream_core::admission;
-use cherrystream_core::cold_pace::ColdLimits;
+use cherrystream_core::cold_rate_limit::ColdLimits;
 use cherrystream_core::concurrency_limit::{self, Change, ConcurrencyLimit};
 use cherrystream_core::measuring::Check;
 use cherrystream_core::rollout;
