--- a/crates/cherrystream-core/src/usual_times.rs
+++ b/crates/cherrystream-core/src/service_times.rs
@@ -25,11 +25,11 @@
 
 /// Averages of service times at normal speed by kind of request.
 #[derive(Debug, Default)]
-pub struct UsualTimes {
+pub struct ServiceTimes {
     by_kind: HashMap<Arc<str>, Average>,
 }
 
-impl UsualTimes {
+impl ServiceTimes {
     /// Records an answer that took a time, at a slowness in hundredths of the normal service time.
     pub fn on_answer(&mut self, now: Timestamp, kind: &Arc<str>, took: Duration, slowness: u32) {
         let sample = took.as_secs_f64() * f64::from(NORMAL) / f64::from(slowness.max(1));
@@ -47,7 +47,7 @@
     }
 
     /// Returns the typical service time of a kind, if there are enough samples.
-    pub fn usual(&self, kind: &str) -> Option<Duration> {
+    pub fn typical(&self, kind: &str) -> Option<Duration> {
         let average = self.by_kind.get(kind).filter(|average| average.samples >= MIN_SAMPLES)?;
         Some(Duration::from_secs_f64(average.seconds))
     }
--- a/crates/cherrystream-core/tests/overload.rs
+++ b/crates/cherrystream-core/tests/overload.rs
@@ -5,9 +5,9 @@
 use cherrystream_core::callers::Callers;
 use cherrystream_core::log_budget::LogBudget;
 use cherrystream_core::reasons::Reason;
+use cherrystream_core::service_times::ServiceTimes;
 use cherrystream_core::slowness::Slowness;
 use cherrystream_core::units::Timestamp;
-use cherrystream_core::usual_times::UsualTimes;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::sync::Arc;
@@ -74,25 +74,25 @@
 
 #[test]
 fn the_typical_time_of_a_kind_does_not_depend_on_the_slowness() {
-    let mut service_times = UsualTimes::default();
+    let mut service_times = ServiceTimes::default();
     let kind: Arc<str> = "quotes".into();
     for i in 0..40 {
         let slowness = [100, 200, 400][i % 3];
         let took = Duration::from_millis(u64::from(slowness));
         service_times.on_answer(ms(i as u64), &kind, took, slowness);
     }
-    assert_eq!(service_times.usual("quotes").map(|d| d.as_millis()), Some(100));
-    assert_eq!(service_times.usual("payouts"), None);
+    assert_eq!(service_times.typical("quotes").map(|d| d.as_millis()), Some(100));
+    assert_eq!(service_times.typical("payouts"), None);
 }
 
 #[test]
 fn unused_kinds_are_evicted_for_new_ones() {
-    let mut service_times = UsualTimes::default();
+    let mut service_times = ServiceTimes::default();
     let took = Duration::from_millis(5);
     for i in 0..2_000_u64 {
         let kind: Arc<str> = format!("kind-{i}").into();
         (0..5).for_each(|_| service_times.on_answer(ms(i * 1_000), &kind, took, 100));
-        assert!(service_times.usual(&kind).is_some(), "kind {i} has no typical time");
+        assert!(service_times.typical(&kind).is_some(), "kind {i} has no typical time");
     }
 }
 
--- a/crates/cherrystream-daemon/src/door.rs
+++ b/crates/cherrystream-daemon/src/door.rs
@@ -13,10 +13,10 @@
 use cherrystream_core::concurrency_limit::{self, ConcurrencyLimit};
 use cherrystream_core::measuring::{Check, Health, MeasuringBudget};
 use cherrystream_core::reasons::Reason;
+use cherrystream_core::service_times::ServiceTimes;
 use cherrystream_core::slowness;
 use cherrystream_core::suspects::Ends;
 use cherrystream_core::units::Timestamp;
-use cherrystream_core::usual_times::UsualTimes;
 use cherrystream_net::clock::Clock;
 use cherrystream_net::interface::{HealthWord, ServerLoad};
 use cherrystream_net::pool::Pool;
@@ -68,9 +68,9 @@
     waiters: HashMap<Ticket, Waiter>,
     health: Health,
     callers: Callers,
-    usual_times: UsualTimes,
-    /// As `usual_times`, while the backend server is cold: work takes about twice as long then.
-    cold_times: UsualTimes,
+    service_times: ServiceTimes,
+    /// As `service_times`, while the backend server is cold: work takes about twice as long then.
+    cold_times: ServiceTimes,
     /// The roll-out of its service that is under way.
     trial: TrialRecord,
 }
@@ -89,8 +89,8 @@
             waiters: HashMap::new(),
             health: Health::default(),
             callers: Callers::default(),
-            usual_times: UsualTimes::default(),
-            cold_times: UsualTimes::default(),
+            service_times: ServiceTimes::default(),
+            cold_times: ServiceTimes::default(),
             trial: TrialRecord::default(),
         };
         let budget = Mutex::new(MeasuringBudget::new(measuring_per_second));
@@ -206,7 +206,7 @@
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         let is_cold = inner.admission.is_cold(now);
-        let arrival = Arrival { usual: inner.times(is_cold).usual(kind), ..arrival };
+        let arrival = Arrival { usual: inner.times(is_cold).typical(kind), ..arrival };
         let (decision, actions) = inner.admission.arrive_for(now, arrival, flow);
         let entered = match decision {
             Decision::Run(ticket) => Ok(Entered::Now(self.permit(ticket))),
@@ -327,7 +327,7 @@
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         let is_cold = inner.admission.is_cold(now);
-        let arrival = Arrival { usual: inner.times(is_cold).usual(kind), ..*arrival };
+        let arrival = Arrival { usual: inner.times(is_cold).typical(kind), ..*arrival };
         !is_cold && inner.admission.needs_slowness_first(now, &arrival)
     }
 
@@ -374,10 +374,10 @@
         self.times(work.is_cold).on_answer(now, &work.kind, took, slowness);
     }
 
-    fn times(&mut self, is_cold: bool) -> &mut UsualTimes {
+    fn times(&mut self, is_cold: bool) -> &mut ServiceTimes {
         match is_cold {
             true => &mut self.cold_times,
-            false => &mut self.usual_times,
+            false => &mut self.service_times,
         }
     }
 }
