--- a/crates/cherrystream-core/src/admission/mod.rs
+++ b/crates/cherrystream-core/src/admission/mod.rs
@@ -254,7 +254,7 @@
         let has_ample_capacity = taken <= AMPLE_CAPACITY_BELOW * f64::from(self.slots_now(now));
         arrival.selective
             && has_ample_capacity
-            && self.slowness.needs_report_first(now, arrival.usual, within)
+            && self.slowness.needs_report_first(now, arrival.typical_time, within)
     }
 
     /// Records that a slowness probe timed out while a request waited for it.
@@ -350,7 +350,7 @@
         over_share: bool,
     ) -> bool {
         let within = arrival.good_until.map(|until| until.since(now));
-        if self.slowness.is_too_slow(now, arrival.usual, within) {
+        if self.slowness.is_too_slow(now, arrival.typical_time, within) {
             self.slowness.on_refused();
             return true;
         }
@@ -541,7 +541,7 @@
 
     /// Charges a flow for a request that is admitted or queued.
     fn charge(&mut self, now: Timestamp, arrival: &Arrival, ticket: Ticket, flow: Option<&Flow>) {
-        let work = arrival.usual.unwrap_or(self.latency);
+        let work = arrival.typical_time.unwrap_or(self.latency);
         if let Some(flow) = flow {
             self.fair_share.on_admitted(now, ticket, flow, work);
         }
--- a/crates/cherrystream-core/src/admission/request.rs
+++ b/crates/cherrystream-core/src/admission/request.rs
@@ -56,15 +56,15 @@
     /// Time until which an answer is useful, if it has a limit.
     pub good_until: Option<Timestamp>,
     /// Typical service time of such a request, if there are enough samples.
-    pub usual: Option<Duration>,
+    pub typical_time: Option<Duration>,
 }
 
 impl Arrival {
     /// Returns the rank at time `now`. A request without `good_until` is treated as one that can be
     /// in time.
     pub fn rank(&self, now: Timestamp) -> Rank {
-        let usual = self.usual.unwrap_or_default();
-        let in_time = self.good_until.is_none_or(|until| now + usual < until);
+        let typical_time = self.typical_time.unwrap_or_default();
+        let in_time = self.good_until.is_none_or(|until| now + typical_time < until);
         Rank { called: self.called, in_time, weight: self.weight }
     }
 }
--- a/crates/cherrystream-core/tests/calls.rs
+++ b/crates/cherrystream-core/tests/calls.rs
@@ -77,7 +77,14 @@
 }
 
 fn arrival(deadline: Timestamp) -> Arrival {
-    Arrival { called: false, weight: 1, deadline, selective: false, good_until: None, usual: None }
+    Arrival {
+        called: false,
+        weight: 1,
+        deadline,
+        selective: false,
+        good_until: None,
+        typical_time: None,
+    }
 }
 
 /// Offers a nested call to one backend server after the other, as an outbound does; returns whether
--- a/crates/cherrystream-core/tests/cold.rs
+++ b/crates/cherrystream-core/tests/cold.rs
@@ -46,7 +46,7 @@
         deadline: now + wait,
         selective: false,
         good_until: None,
-        usual: None,
+        typical_time: None,
     }
 }
 
--- a/crates/cherrystream-core/tests/concurrency_limit.rs
+++ b/crates/cherrystream-core/tests/concurrency_limit.rs
@@ -129,7 +129,7 @@
             deadline: now + MAX_WAIT,
             selective: false,
             good_until: Some(useful_until),
-            usual: None,
+            typical_time: None,
         };
         let (decision, actions) = self.admission.arrive(now, arrival);
         self.handle(now, actions);
--- a/crates/cherrystream-core/tests/decisions.rs
+++ b/crates/cherrystream-core/tests/decisions.rs
@@ -31,7 +31,7 @@
         deadline: ms(deadline),
         selective: false,
         good_until: None,
-        usual: None,
+        typical_time: None,
     };
     s.event("first", admission.arrive(ms(0), arrival(1, 1_000)));
     s.event("second", admission.arrive(ms(1), arrival(1, 1_000)));
--- a/crates/cherrystream-core/tests/fresh_words.rs
+++ b/crates/cherrystream-core/tests/fresh_words.rs
@@ -92,7 +92,7 @@
                 deadline: self.now + GOOD_FOR / 5,
                 selective: offer < MAX_SELECTIVE_OFFERS,
                 good_until: Some(self.now + GOOD_FOR),
-                usual: Some(TYPICAL),
+                typical_time: Some(TYPICAL),
             };
             if self.offer(chosen, arrival) {
                 return;
@@ -165,7 +165,7 @@
         deadline: now + GOOD_FOR,
         selective: true,
         good_until: Some(now + GOOD_FOR),
-        usual: Some(TYPICAL),
+        typical_time: Some(TYPICAL),
     };
     assert!(
         !admission.needs_slowness_first(now, &arrival(now)),
@@ -195,7 +195,7 @@
             deadline: now + GOOD_FOR,
             selective: true,
             good_until: Some(now + GOOD_FOR),
-            usual: Some(TYPICAL),
+            typical_time: Some(TYPICAL),
         };
         // After ten seconds of reports the peak is known to be low.
         assert!(round <= 21 || !admission.needs_slowness_first(now, &arrival), "round {round}");
--- a/crates/cherrystream-core/tests/overload.rs
+++ b/crates/cherrystream-core/tests/overload.rs
@@ -29,7 +29,7 @@
 
 fn arrival(weight: u32, selective: bool) -> Arrival {
     let (called, deadline) = (false, ms(60_000));
-    Arrival { called, weight, deadline, selective, good_until: None, usual: None }
+    Arrival { called, weight, deadline, selective, good_until: None, typical_time: None }
 }
 
 fn call(selective: bool) -> Arrival {
@@ -57,8 +57,8 @@
 fn a_slow_server_accepts_requests_that_it_still_answers_in_time() {
     let mut admission = new_admission(10);
     admission.on_slowness(ms(1_000), 200);
-    let with_times = |usual: u64, until: u64| Arrival {
-        usual: Some(Duration::from_millis(usual)),
+    let with_times = |typical: u64, until: u64| Arrival {
+        typical_time: Some(Duration::from_millis(typical)),
         good_until: Some(ms(until)),
         ..arrival(1, true)
     };
@@ -231,8 +231,9 @@
 #[test]
 fn requests_that_can_be_in_time_go_before_those_that_cannot() {
     let mut admission = new_admission(1);
-    let usual = Some(Duration::from_millis(300));
-    let until = |millis| Arrival { good_until: Some(ms(millis)), usual, ..arrival(1, false) };
+    let typical_time = Some(Duration::from_millis(300));
+    let until =
+        |millis| Arrival { good_until: Some(ms(millis)), typical_time, ..arrival(1, false) };
     let Decision::Run(first) = admission.arrive(ms(0), until(800)).0 else { panic!() };
     let Decision::Wait(late) = admission.arrive(ms(1), until(200)).0 else { panic!() };
     let Decision::Wait(in_time) = admission.arrive(ms(2), until(800)).0 else { panic!() };
--- a/crates/cherrystream-daemon/src/door.rs
+++ b/crates/cherrystream-daemon/src/door.rs
@@ -206,7 +206,7 @@
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         let is_cold = inner.admission.is_cold(now);
-        let arrival = Arrival { usual: inner.times(is_cold).typical(kind), ..arrival };
+        let arrival = Arrival { typical_time: inner.times(is_cold).typical(kind), ..arrival };
         let (decision, actions) = inner.admission.arrive_for(now, arrival, flow);
         let entered = match decision {
             Decision::Run(ticket) => Ok(Entered::Now(self.permit(ticket))),
@@ -327,7 +327,7 @@
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         let is_cold = inner.admission.is_cold(now);
-        let arrival = Arrival { usual: inner.times(is_cold).typical(kind), ..*arrival };
+        let arrival = Arrival { typical_time: inner.times(is_cold).typical(kind), ..*arrival };
         !is_cold && inner.admission.needs_slowness_first(now, &arrival)
     }
 
--- a/crates/cherrystream-daemon/src/inbound/mod.rs
+++ b/crates/cherrystream-daemon/src/inbound/mod.rs
@@ -313,7 +313,7 @@
             deadline,
             selective: call.selective,
             good_until: call.good_for.map(|time| now + time),
-            usual: None,
+            typical_time: None,
         };
         self.hear_pace(door, &arrival, &call.kind).await;
         let flow = self.flow(call);
