--- a/crates/cherrystream-core/src/admission/mod.rs
+++ b/crates/cherrystream-core/src/admission/mod.rs
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Running {
     since: Timestamp,
-    called: bool,
+    nested: bool,
     /// Whether its workspace has used more than its fair share.
     over_share: bool,
     /// Whether it was sent to the backend server.
@@ -177,7 +177,7 @@
             return (Decision::Refuse(self.refusal(Reason::DeadlineBeforeStart)), actions);
         };
         // Nested calls belong to no flow.
-        let flow = flow.filter(|_| !arrival.called);
+        let flow = flow.filter(|_| !arrival.nested);
         let rank = arrival.rank(now);
         let over_share = flow.is_some_and(|flow| self.fair_share.is_over_share(now, flow));
         let usage = flow.map_or(Usage::default(), |flow| self.fair_share.on_request(now, flow));
@@ -188,10 +188,10 @@
         }
         self.next_ticket += 1;
         let ticket = key.ticket;
-        if self.is_next(key) && self.has_slot(now, rank.called, over_share) {
-            self.add_nested_call(now, rank.called);
+        if self.is_next(key) && self.has_slot(now, rank.nested, over_share) {
+            self.add_nested_call(now, rank.nested);
             self.charge(now, &arrival, ticket, flow);
-            self.start(now, ticket, rank.called, over_share);
+            self.start(now, ticket, rank.nested, over_share);
             return (Decision::Run(ticket), actions);
         }
         self.note_limit_reached(now);
@@ -200,11 +200,11 @@
         }
         // A refused nested call wastes the work of its parent, so it waits regardless of the
         // estimate.
-        if !rank.called && self.expected_wait(key) > remaining {
+        if !rank.nested && self.expected_wait(key) > remaining {
             let reason = self.long_wait_reason(key, remaining);
             return (Decision::Refuse(self.refusal(reason)), actions);
         }
-        if !rank.called && self.waiting.len() >= self.opts.queue as usize {
+        if !rank.nested && self.waiting.len() >= self.opts.queue as usize {
             match self.shed_last(now, key) {
                 // Only requests with a lower priority are shed, and nested calls have the highest.
                 Some(shed) => actions.push(shed),
@@ -213,7 +213,7 @@
                 }
             }
         }
-        self.add_nested_call(now, rank.called);
+        self.add_nested_call(now, rank.nested);
         self.charge(now, &arrival, ticket, flow);
         self.waiting.insert(key, Waiting { deadline: arrival.deadline, over_share });
         (Decision::Wait(ticket), actions)
@@ -223,7 +223,7 @@
     pub fn finish(&mut self, now: Timestamp, ticket: Ticket, answered: bool) -> Vec<Action> {
         let ended = self.running.remove(&ticket);
         if let Some(running) = ended {
-            self.remove_nested_call(now, running.called);
+            self.remove_nested_call(now, running.nested);
         }
         if let Some(running) = ended
             && answered
@@ -331,7 +331,7 @@
     ) -> Option<Refusal> {
         let wait = self.cold_wait(now, rank)?;
         let useful_for = arrival.good_until.map_or(remaining, |until| until.since(now));
-        let max_wait = if rank.called { useful_for.min(remaining) } else { remaining };
+        let max_wait = if rank.nested { useful_for.min(remaining) } else { remaining };
         (wait > max_wait).then_some(Refusal { reason: Reason::ServerCold, retry_after: wait })
     }
 
@@ -354,13 +354,13 @@
             self.slowness.on_refused();
             return true;
         }
-        !self.is_next(key) || !self.has_slot(now, arrival.called, over_share)
+        !self.is_next(key) || !self.has_slot(now, arrival.nested, over_share)
     }
 
     /// Returns the refusal of a request that can go to other backend servers.
     fn busy_refusal(&mut self, now: Timestamp, key: QueueKey, over_share: bool) -> Refusal {
         let rank = key.rank.0;
-        if self.is_next(key) && self.slot(now, rank.called, over_share) == Slot::LeftToOthers {
+        if self.is_next(key) && self.slot(now, rank.nested, over_share) == Slot::LeftToOthers {
             return Refusal::making_way();
         }
         let refusal = self.refusal(Reason::BusyNow);
@@ -472,20 +472,20 @@
     }
 
     /// Returns whether a slot is free for a request.
-    fn has_slot(&mut self, now: Timestamp, called: bool, over_share: bool) -> bool {
-        self.slot(now, called, over_share) == Slot::Free
+    fn has_slot(&mut self, now: Timestamp, nested: bool, over_share: bool) -> bool {
+        self.slot(now, nested, over_share) == Slot::Free
     }
 
     /// Returns the availability of a slot for a request, which may be a nested call.
-    fn slot(&mut self, now: Timestamp, called: bool, over_share: bool) -> Slot {
+    fn slot(&mut self, now: Timestamp, nested: bool, over_share: bool) -> Slot {
         if !self.cold_limit_allows(now) {
             return Slot::Taken;
         }
         let slots = self.slots_now(now);
-        if called {
+        if nested {
             return Slot::free_if(self.running.len() < slots as usize);
         }
-        let calls = self.running.values().filter(|r| r.called).count();
+        let calls = self.running.values().filter(|r| r.nested).count();
         let reserved = self.reserve.reserved(now, slots, calls as u32);
         let limit = slots.saturating_sub(reserved) as usize;
         match Slot::free_if(self.running.len() < limit) {
@@ -509,21 +509,21 @@
         }
     }
 
-    fn add_nested_call(&mut self, now: Timestamp, called: bool) {
-        if called {
+    fn add_nested_call(&mut self, now: Timestamp, nested: bool) {
+        if nested {
             self.reserve.on_arrival(now);
         }
     }
 
-    fn remove_nested_call(&mut self, now: Timestamp, called: bool) {
-        if called {
+    fn remove_nested_call(&mut self, now: Timestamp, nested: bool) {
+        if nested {
             self.reserve.on_end(now);
         }
     }
 
     /// Releases what was accounted for a queued request that is not served.
     fn release_unserved(&mut self, now: Timestamp, key: QueueKey) {
-        self.remove_nested_call(now, key.rank.0.called);
+        self.remove_nested_call(now, key.rank.0.nested);
         self.fair_share.on_unserved(now, key.ticket);
     }
 
@@ -533,10 +533,10 @@
         self.release_unserved(now, key);
     }
 
-    fn start(&mut self, now: Timestamp, ticket: Ticket, called: bool, over_share: bool) {
+    fn start(&mut self, now: Timestamp, ticket: Ticket, nested: bool, over_share: bool) {
         self.fair_share.on_started(ticket);
         let level = self.running.len() as u32 + 1;
-        self.running.insert(ticket, Running { since: now, called, over_share, sent: false, level });
+        self.running.insert(ticket, Running { since: now, nested, over_share, sent: false, level });
     }
 
     /// Charges a flow for a request that is admitted or queued.
@@ -608,7 +608,7 @@
     fn next_to_start(&mut self, now: Timestamp) -> Option<(QueueKey, Waiting)> {
         let waiting: Vec<_> = self.waiting.iter().map(|(p, w)| (*p, *w)).collect();
         let may_start = |(key, waiting): &(QueueKey, Waiting)| {
-            self.has_slot(now, key.rank.0.called, waiting.over_share)
+            self.has_slot(now, key.rank.0.nested, waiting.over_share)
         };
         waiting.into_iter().find(may_start)
     }
@@ -625,7 +625,7 @@
                 continue;
             }
             self.waiting.remove(&key);
-            self.start(now, key.ticket, key.rank.0.called, waiting.over_share);
+            self.start(now, key.ticket, key.rank.0.nested, waiting.over_share);
             actions.push(Action::Start(key.ticket));
         }
         actions
--- a/crates/cherrystream-core/src/admission/request.rs
+++ b/crates/cherrystream-core/src/admission/request.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
     /// Whether it is a nested call, whose parent is wasted without it.
-    pub called: bool,
+    pub nested: bool,
     /// Whether its answer can still be in time.
     pub in_time: bool,
     /// Weight in load shedding; the lowest is shed first.
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
     /// Whether it is a nested call.
-    pub called: bool,
+    pub nested: bool,
     /// Weight in load shedding; the lowest is shed first.
     pub weight: u32,
     /// Time until which the request may wait.
@@ -65,7 +65,7 @@
     pub fn rank(&self, now: Timestamp) -> Rank {
         let typical_time = self.typical_time.unwrap_or_default();
         let in_time = self.good_until.is_none_or(|until| now + typical_time < until);
-        Rank { called: self.called, in_time, weight: self.weight }
+        Rank { nested: self.nested, in_time, weight: self.weight }
     }
 }
 
--- a/crates/cherrystream-core/tests/calls.rs
+++ b/crates/cherrystream-core/tests/calls.rs
@@ -78,7 +78,7 @@
 
 fn arrival(deadline: Timestamp) -> Arrival {
     Arrival {
-        called: false,
+        nested: false,
         weight: 1,
         deadline,
         selective: false,
--- a/crates/cherrystream-core/tests/cold.rs
+++ b/crates/cherrystream-core/tests/cold.rs
@@ -39,9 +39,9 @@
     Admission::new(opts)
 }
 
-fn arrival(now: Timestamp, called: bool, wait: Duration) -> Arrival {
+fn arrival(now: Timestamp, nested: bool, wait: Duration) -> Arrival {
     Arrival {
-        called,
+        nested,
         weight: 1,
         deadline: now + wait,
         selective: false,
@@ -116,10 +116,10 @@
         admission.on_sent(at(0), ticket);
         last = admission.arrive(at(0), arrival(at(0), false, ms(1_500))).0;
     }
-    let called = admission.arrive(at(0), arrival(at(0), true, ms(1_500))).0;
-    let Decision::Wait(called) = called else { panic!("{called:?}") };
+    let nested = admission.arrive(at(0), arrival(at(0), true, ms(1_500))).0;
+    let Decision::Wait(nested) = nested else { panic!("{nested:?}") };
     let started = (0..1_200).find_map(|ms| admission.tick(at(ms)).first().copied());
-    assert_eq!(started, Some(Action::Start(called)));
+    assert_eq!(started, Some(Action::Start(nested)));
 }
 
 #[test]
--- a/crates/cherrystream-core/tests/concurrency_limit.rs
+++ b/crates/cherrystream-core/tests/concurrency_limit.rs
@@ -124,7 +124,7 @@
     fn arrive(&mut self, now: Timestamp) {
         let useful_until = now + TARGET;
         let arrival = Arrival {
-            called: false,
+            nested: false,
             weight: 1,
             deadline: now + MAX_WAIT,
             selective: false,
--- a/crates/cherrystream-core/tests/decisions.rs
+++ b/crates/cherrystream-core/tests/decisions.rs
@@ -26,7 +26,7 @@
     let mut admission = Admission::new(opts);
     let mut s = Session::default();
     let arrival = |weight, deadline| Arrival {
-        called: false,
+        nested: false,
         weight,
         deadline: ms(deadline),
         selective: false,
--- a/crates/cherrystream-core/tests/fair_shares.rs
+++ b/crates/cherrystream-core/tests/fair_shares.rs
@@ -28,7 +28,7 @@
 fn waiting(weight: u32, until: u64) -> Arrival {
     let typical_time = Some(Duration::from_millis(300));
     let deadline = ms(until);
-    Arrival { called: false, weight, deadline, selective: false, good_until: None, typical_time }
+    Arrival { nested: false, weight, deadline, selective: false, good_until: None, typical_time }
 }
 
 /// A workspace with its load, share and weight.
--- a/crates/cherrystream-core/tests/fresh_words.rs
+++ b/crates/cherrystream-core/tests/fresh_words.rs
@@ -87,7 +87,7 @@
         for offer in 0..=MAX_SELECTIVE_OFFERS {
             let chosen = self.rng.random_range(0..self.servers.len());
             let arrival = Arrival {
-                called: false,
+                nested: false,
                 weight: 1,
                 deadline: self.now + GOOD_FOR / 5,
                 selective: offer < MAX_SELECTIVE_OFFERS,
@@ -160,7 +160,7 @@
     let admission = &mut simulation.servers[0].admission;
     let now = Timestamp::default() + Duration::from_secs(1);
     let arrival = |now: Timestamp| Arrival {
-        called: false,
+        nested: false,
         weight: 1,
         deadline: now + GOOD_FOR,
         selective: true,
@@ -190,7 +190,7 @@
     for round in 0..100 {
         now = now + Duration::from_millis(500);
         let arrival = Arrival {
-            called: false,
+            nested: false,
             weight: 1,
             deadline: now + GOOD_FOR,
             selective: true,
--- a/crates/cherrystream-core/tests/overload.rs
+++ b/crates/cherrystream-core/tests/overload.rs
@@ -28,12 +28,12 @@
 }
 
 fn arrival(weight: u32, selective: bool) -> Arrival {
-    let (called, deadline) = (false, ms(60_000));
-    Arrival { called, weight, deadline, selective, good_until: None, typical_time: None }
+    let (nested, deadline) = (false, ms(60_000));
+    Arrival { nested, weight, deadline, selective, good_until: None, typical_time: None }
 }
 
 fn call(selective: bool) -> Arrival {
-    Arrival { called: true, ..arrival(1, selective) }
+    Arrival { nested: true, ..arrival(1, selective) }
 }
 
 fn reason(decision: Decision) -> Option<Reason> {
--- a/crates/cherrystream-daemon/src/inbound/mod.rs
+++ b/crates/cherrystream-daemon/src/inbound/mod.rs
@@ -299,16 +299,16 @@
         door: &Arc<Door>,
         call: &InboundCall,
     ) -> Result<Permit, Refused> {
-        let called = call.caller.as_ref().is_some_and(|c| door.is_called(&call.kind, c));
+        let nested = call.caller.as_ref().is_some_and(|c| door.is_called(&call.kind, c));
         let now = self.clock.now();
         // The request that waits for the call is wasted without it, so the call is not given up
         // before its deadline.
-        let deadline = match called {
+        let deadline = match nested {
             true => call.deadline.at(),
             false => call_times::waits_until(now, call.deadline.at(), call.wait_at_most),
         };
         let arrival = Arrival {
-            called,
+            nested,
             weight: call.weight,
             deadline,
             selective: call.selective,
