--- a/crates/cherrystream-core/src/admission/mod.rs
+++ b/crates/cherrystream-core/src/admission/mod.rs
@@ -361,7 +361,7 @@
     fn busy_refusal(&mut self, now: Timestamp, key: QueueKey, over_share: bool) -> Refusal {
         let rank = key.rank.0;
         if self.is_next(key) && self.slot(now, rank.nested, over_share) == Slot::LeftToOthers {
-            return Refusal::making_way();
+            return Refusal::yielded_slot();
         }
         let refusal = self.refusal(Reason::BusyNow);
         let cold_wait = self.cold_wait(now, rank).unwrap_or_default();
--- a/crates/cherrystream-core/src/admission/request.rs
+++ b/crates/cherrystream-core/src/admission/request.rs
@@ -92,13 +92,13 @@
 impl Refusal {
     /// Returns the refusal of a request that leaves the last slot to other workspaces. Its retry
     /// delay is zero: other requests of the kind may be admitted at once.
-    pub fn making_way() -> Refusal {
+    pub fn yielded_slot() -> Refusal {
         Refusal { reason: Reason::BusyNow, retry_after: Duration::ZERO }
     }
 
     /// Returns whether a free slot was left to other workspaces.
-    pub fn makes_way(&self) -> bool {
-        *self == Refusal::making_way()
+    pub fn yields_slot(&self) -> bool {
+        *self == Refusal::yielded_slot()
     }
 }
 
--- a/crates/cherrystream-core/tests/fair_shares.rs
+++ b/crates/cherrystream-core/tests/fair_shares.rs
@@ -339,11 +339,14 @@
     // One request of the hot workspace may run at any time, but none takes the last slot.
     let Decision::Run(first) = arrive(&mut admission, 10, &hot) else { panic!() };
     let decision = arrive(&mut admission, 11, &hot);
-    assert!(matches!(decision, Decision::Refuse(refusal) if refusal.makes_way()), "{decision:?}");
+    assert!(matches!(decision, Decision::Refuse(refusal) if refusal.yields_slot()), "{decision:?}");
     let Decision::Run(_) = arrive(&mut admission, 12, &other) else { panic!() };
     // Without a free slot it is an ordinary refusal.
     let decision = arrive(&mut admission, 13, &third);
-    assert!(matches!(decision, Decision::Refuse(refusal) if !refusal.makes_way()), "{decision:?}");
+    assert!(
+        matches!(decision, Decision::Refuse(refusal) if !refusal.yields_slot()),
+        "{decision:?}"
+    );
     // Once the others are inactive, the hot workspace gets all slots.
     admission.finish(ms(6_000), first, true);
     assert!(matches!(arrive(&mut admission, 6_001, &hot), Decision::Run(_)));
--- a/crates/cherrystream-daemon/src/inbound/mod.rs
+++ b/crates/cherrystream-daemon/src/inbound/mod.rs
@@ -324,7 +324,7 @@
             entered = door.enter(arrival, &call.kind, flow.as_ref()) => entered,
         };
         let permit = entered.map_err(|refusal| {
-            if refusal.makes_way() {
+            if refusal.yields_slot() {
                 let label = ServerLabel { server: door.id.name.to_string() };
                 self.metrics.made_way.get_or_create(&label).inc();
             }
