--- a/crates/cherrystream-core/src/lib.rs
+++ b/crates/cherrystream-core/src/lib.rs
@@ -9,7 +9,6 @@
 pub mod admission;
 pub mod attempts;
 pub mod call_times;
-pub mod callers;
 pub mod choose;
 pub mod cold_rate_limit;
 pub mod concurrency_limit;
@@ -22,6 +21,7 @@
 pub mod ledger;
 pub mod log_budget;
 pub mod measuring;
+pub mod nested_calls;
 pub mod plan;
 pub mod quota;
 pub mod raft;
--- a/crates/cherrystream-core/src/callers.rs
+++ b/crates/cherrystream-core/src/nested_calls.rs
@@ -46,12 +46,12 @@
 
 /// Requests of one backend server by route and calling service.
 #[derive(Debug, Default)]
-pub struct Callers {
+pub struct NestedCallDetector {
     routes: BTreeMap<Arc<str>, RouteCounts>,
     decayed_at: Timestamp,
 }
 
-impl Callers {
+impl NestedCallDetector {
     /// Records a request of a route that started on a host of `service`; returns whether it is
     /// considered a nested call.
     pub fn on_request(&mut self, now: Timestamp, route: &Arc<str>, service: &Arc<str>) -> bool {
--- a/crates/cherrystream-core/tests/overload.rs
+++ b/crates/cherrystream-core/tests/overload.rs
@@ -2,8 +2,8 @@
 //! requests.
 
 use cherrystream_core::admission::{self, Admission, Arrival, Decision};
-use cherrystream_core::callers::Callers;
 use cherrystream_core::log_budget::LogBudget;
+use cherrystream_core::nested_calls::NestedCallDetector;
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::service_times::ServiceTimes;
 use cherrystream_core::slowness::Slowness;
@@ -159,21 +159,21 @@
 
 #[test]
 fn a_route_used_by_one_service_beside_shared_ones_carries_nested_calls() {
-    let mut callers = Callers::default();
+    let mut detector = NestedCallDetector::default();
     let arc = |text: &str| -> Arc<str> { text.into() };
     let services = ["quotes", "payouts", "history"];
     let mut called = 0;
     for i in 0..60 {
         let service = arc(services[i % 3]);
-        assert!(!callers.on_request(ms(i as u64), &arc("orders"), &service));
-        called += u32::from(callers.on_request(ms(i as u64), &arc("checks"), &arc("quotes")));
+        assert!(!detector.on_request(ms(i as u64), &arc("orders"), &service));
+        called += u32::from(detector.on_request(ms(i as u64), &arc("checks"), &arc("quotes")));
     }
     assert!(called > 40, "{called}");
     // If all routes are used by one service only, outside callers enter on its hosts.
-    let mut callers = Callers::default();
+    let mut detector = NestedCallDetector::default();
     for i in 0..60 {
-        assert!(!callers.on_request(ms(i), &arc("orders"), &arc("edge")));
-        assert!(!callers.on_request(ms(i), &arc("checks"), &arc("edge")));
+        assert!(!detector.on_request(ms(i), &arc("orders"), &arc("edge")));
+        assert!(!detector.on_request(ms(i), &arc("checks"), &arc("edge")));
     }
 }
 
@@ -181,15 +181,15 @@
 /// of three services call the third, whose own host, entered by one in eight callers, never calls.
 #[test]
 fn a_route_not_used_by_the_hosts_of_some_service_carries_nested_calls() {
-    let mut callers = Callers::default();
+    let mut detector = NestedCallDetector::default();
     let arc = |text: &str| -> Arc<str> { text.into() };
     let services =
         ["quotes", "payouts", "quotes", "payouts", "quotes", "payouts", "quotes", "archive"];
     let mut called = 0;
     for i in 0..100 {
         let now = ms(i as u64 * 10);
-        assert!(!callers.on_request(now, &arc("uploads"), &arc(services[i % 8])), "{i}");
-        let calls = callers.on_request(now, &arc("index"), &arc(services[i % 2]));
+        assert!(!detector.on_request(now, &arc("uploads"), &arc(services[i % 8])), "{i}");
+        let calls = detector.on_request(now, &arc("index"), &arc(services[i % 2]));
         called += u32::from(calls);
     }
     assert!(called >= 40, "{called}");
@@ -199,13 +199,13 @@
 /// absent by chance.
 #[test]
 fn a_rare_route_of_outside_callers_carries_no_nested_calls() {
-    let mut callers = Callers::default();
+    let mut detector = NestedCallDetector::default();
     let arc = |text: &str| -> Arc<str> { text.into() };
     let services =
         ["quotes", "payouts", "quotes", "payouts", "quotes", "payouts", "quotes", "archive"];
     for i in 0..30 {
-        callers.on_request(ms(i as u64 * 10), &arc("uploads"), &arc(services[i % 8]));
-        let called = callers.on_request(ms(i as u64 * 10), &arc("deletes"), &arc(services[i % 7]));
+        detector.on_request(ms(i as u64 * 10), &arc("uploads"), &arc(services[i % 8]));
+        let called = detector.on_request(ms(i as u64 * 10), &arc("deletes"), &arc(services[i % 7]));
         assert!(!called, "{i}");
     }
 }
@@ -216,11 +216,11 @@
     let mut wrong = 0;
     for seed in 0..8 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut callers = Callers::default();
+        let mut detector = NestedCallDetector::default();
         for i in 0..1_500_u64 {
             let route = ["orders", "deletes"][rng.random_range(0..2)];
             let service = format!("service-{}", rng.random_range(0..130));
-            let called = callers.on_request(ms(i * 10), &route.into(), &service.as_str().into());
+            let called = detector.on_request(ms(i * 10), &route.into(), &service.as_str().into());
             wrong += u32::from(called);
         }
     }
--- a/crates/cherrystream-daemon/src/door.rs
+++ b/crates/cherrystream-daemon/src/door.rs
@@ -8,10 +8,10 @@
 use cherrystream_core::admission::{
     self, Action, Admission, Arrival, Decision, Flow, Refusal, Ticket,
 };
-use cherrystream_core::callers::Callers;
 use cherrystream_core::cold_rate_limit::ColdLimits;
 use cherrystream_core::concurrency_limit::{self, ConcurrencyLimit};
 use cherrystream_core::measuring::{Check, Health, MeasuringBudget};
+use cherrystream_core::nested_calls::NestedCallDetector;
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::service_times::ServiceTimes;
 use cherrystream_core::slowness;
@@ -67,7 +67,7 @@
     admission: Admission,
     waiters: HashMap<Ticket, Waiter>,
     health: Health,
-    callers: Callers,
+    callers: NestedCallDetector,
     service_times: ServiceTimes,
     /// As `service_times`, while the backend server is cold: work takes about twice as long then.
     cold_times: ServiceTimes,
@@ -88,7 +88,7 @@
             admission: Admission::new(opts),
             waiters: HashMap::new(),
             health: Health::default(),
-            callers: Callers::default(),
+            callers: NestedCallDetector::default(),
             service_times: ServiceTimes::default(),
             cold_times: ServiceTimes::default(),
             trial: TrialRecord::default(),
