--- a/crates/cherrystream-core/src/first_asked.rs
+++ b/crates/cherrystream-core/src/elapsed_time.rs
@@ -31,12 +31,12 @@
 
 /// Histograms of remaining deadlines by kind of request.
 #[derive(Debug, Default)]
-pub struct FirstAsked {
+pub struct ElapsedTimeEstimator {
     by_kind: HashMap<Arc<str>, Histogram>,
     halved_at: Timestamp,
 }
 
-impl FirstAsked {
+impl ElapsedTimeEstimator {
     /// Records a request with the remaining deadline `remaining`; returns the estimated time since the
     /// caller first sent it, or zero.
     pub fn on_request(&mut self, now: Timestamp, kind: &Arc<str>, remaining: Duration) -> Duration {
--- a/crates/cherrystream-daemon/src/outbound/mod.rs
+++ b/crates/cherrystream-daemon/src/outbound/mod.rs
@@ -25,7 +25,7 @@
 use crate::suspects::SuspectWatch;
 use crate::sync::Newer;
 use cherrystream_core::choose::{Server, Table};
-use cherrystream_core::first_asked::FirstAsked;
+use cherrystream_core::elapsed_time::ElapsedTimeEstimator;
 use cherrystream_core::reasons::{Outcome, Reason};
 use cherrystream_core::retry::{self, RetryBudget};
 use cherrystream_core::routes::RouteIndex;
@@ -111,7 +111,7 @@
     pub(crate) caller_service: Option<Arc<str>>,
     pub(crate) routes: RwLock<Arc<RouteIndex>>,
     /// Patience of callers by kind of request. Taken with no other lock.
-    pub(crate) first_asked: Mutex<FirstAsked>,
+    pub(crate) first_asked: Mutex<ElapsedTimeEstimator>,
     pub(crate) key: Option<Secret>,
     pub(crate) fingerprints: FingerprintKey,
     pub(crate) phases: Phases,
