--- a/crates/cherrystream-core/src/lib.rs
+++ b/crates/cherrystream-core/src/lib.rs
@@ -8,7 +8,6 @@
 
 pub mod admission;
 pub mod attempts;
-pub mod call_times;
 pub mod choose;
 pub mod cold_rate_limit;
 pub mod concurrency_limit;
@@ -27,6 +26,7 @@
 pub mod raft;
 pub mod reasons;
 pub mod replica_choice;
+pub mod request_times;
 pub mod reservations;
 pub mod reserve;
 pub mod retry;
--- a/crates/cherrystream-core/src/call_times.rs
+++ b/crates/cherrystream-core/src/request_times.rs
@@ -23,13 +23,13 @@
 /// Returns the time until which a request may wait for admission. A request without time to wait
 /// still gets a free slot; if there is none, it is refused as for a full queue and may go to
 /// another backend server.
-pub fn waits_until(now: Timestamp, deadline: Timestamp, wait: Duration) -> Timestamp {
+pub fn wait_deadline(now: Timestamp, deadline: Timestamp, wait: Duration) -> Timestamp {
     deadline.min(now + wait.max(MIN_WAIT))
 }
 
 /// Properties of a request from which its time limits follow.
 #[derive(Clone, Copy, Debug)]
-pub struct Given {
+pub struct TimeInputs {
     /// Arrival time.
     pub now: Timestamp,
     /// Target latency.
@@ -46,7 +46,7 @@
 
 /// Time limits of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CallTimes {
+pub struct RequestTimes {
     /// Time until which an answer is useful.
     pub good_until: Timestamp,
     /// Time until which it may wait for a slot.
@@ -57,15 +57,16 @@
     pub hedge_after: Option<Duration>,
 }
 
-impl CallTimes {
+impl RequestTimes {
     /// Derives the time limits.
-    pub fn new(given: Given) -> CallTimes {
-        let Given { now, target, asked_before, repeatable, body_bytes, crossing_cost } = given;
+    pub fn new(inputs: TimeInputs) -> RequestTimes {
+        let TimeInputs { now, target, asked_before, repeatable, body_bytes, crossing_cost } =
+            inputs;
         let useful_for = target.saturating_sub(asked_before);
         let max_nearby = crossing_cost.mul_f64(body_bytes as f64 / CROSSING_BYTES);
         let nearby = (max_nearby >= MIN_NEARBY_TIME)
             .then(|| max_nearby.min(useful_for.mul_f64(MAX_NEARBY_SHARE)));
-        CallTimes {
+        RequestTimes {
             good_until: now + useful_for,
             patience: now + target / QUEUE_WAIT_DIVISOR,
             nearby_until: nearby.map(|time| now + time),
--- a/crates/cherrystream-core/tests/nested_calls.rs
+++ b/crates/cherrystream-core/tests/nested_calls.rs
@@ -1,8 +1,8 @@
 //! Nested calls to backend servers that serve other requests as well.
 
 use cherrystream_core::admission::{self, Action, Admission, Arrival, Decision, Ticket};
-use cherrystream_core::call_times::{self, CallTimes, Given};
 use cherrystream_core::reasons::Reason;
+use cherrystream_core::request_times::{self, RequestTimes, TimeInputs};
 use cherrystream_core::retry::{self, Allowance, Failed, RetryBudget};
 use cherrystream_core::units::Timestamp;
 use std::collections::BTreeMap;
@@ -95,7 +95,7 @@
     first: usize,
     wait_limit: impl Fn(Timestamp, Timestamp, Duration) -> Timestamp,
 ) -> bool {
-    let given = Given {
+    let inputs = TimeInputs {
         now: ms(now - NETWORK_DELAY),
         target: TARGET,
         asked_before: Duration::ZERO,
@@ -103,7 +103,7 @@
         body_bytes: 0,
         crossing_cost: Duration::ZERO,
     };
-    let wait = CallTimes::new(given).patience.since(ms(now));
+    let wait = RequestTimes::new(inputs).patience.since(ms(now));
     let until = wait_limit(ms(now), ms(now + USEFUL_MS), wait);
     let mut budget = RetryBudget::new(0.1);
     let mut allowance = Allowance::new(None);
@@ -158,7 +158,7 @@
     let before = |now: Timestamp, deadline: Timestamp, wait| deadline.min(now + wait);
     let (accepted_before, all, others_before) = calls_accepted(before);
     assert_eq!(accepted_before, 0, "of {all}");
-    let (served, all, others) = calls_accepted(call_times::waits_until);
+    let (served, all, others) = calls_accepted(request_times::wait_deadline);
     assert!(f64::from(served) > 0.9 * f64::from(all), "{served} of {all}");
     assert!(
         f64::from(others) > 0.9 * f64::from(others_before),
--- a/crates/cherrystream-core/tests/call_times.rs
+++ b/crates/cherrystream-core/tests/request_times.rs
@@ -1,11 +1,11 @@
 //! Time limits of a request at an outbound.
 
-use cherrystream_core::call_times::{CallTimes, Given};
+use cherrystream_core::request_times::{RequestTimes, TimeInputs};
 use cherrystream_core::units::Timestamp;
 use std::time::Duration;
 
-fn given(body_bytes: usize, asked_before: u64) -> CallTimes {
-    CallTimes::new(Given {
+fn times(body_bytes: usize, asked_before: u64) -> RequestTimes {
+    RequestTimes::new(TimeInputs {
         now: Timestamp::from_millis(1_000),
         target: Duration::from_millis(800),
         asked_before: Duration::from_millis(asked_before),
@@ -16,7 +16,7 @@
 }
 
 fn nearby_until(body_bytes: usize, asked_before: u64) -> Option<u64> {
-    given(body_bytes, asked_before).nearby_until.map(Timestamp::as_millis)
+    times(body_bytes, asked_before).nearby_until.map(Timestamp::as_millis)
 }
 
 #[test]
@@ -31,7 +31,7 @@
 
 #[test]
 fn the_target_counts_from_the_first_request_of_the_caller() {
-    assert_eq!(given(0, 0).good_until, Timestamp::from_millis(1_800));
-    assert_eq!(given(0, 300).good_until, Timestamp::from_millis(1_500));
-    assert_eq!(given(0, 5_000).good_until, Timestamp::from_millis(1_000));
+    assert_eq!(times(0, 0).good_until, Timestamp::from_millis(1_800));
+    assert_eq!(times(0, 300).good_until, Timestamp::from_millis(1_500));
+    assert_eq!(times(0, 5_000).good_until, Timestamp::from_millis(1_000));
 }
--- a/crates/cherrystream-daemon/src/inbound/mod.rs
+++ b/crates/cherrystream-daemon/src/inbound/mod.rs
@@ -15,9 +15,9 @@
 use bytes::Bytes;
 use cherrystream_core::admission::{Arrival, Flow};
 use cherrystream_core::attempts::{Attempts, Claimed, RequestKey};
-use cherrystream_core::call_times;
 use cherrystream_core::deadline::Deadline;
 use cherrystream_core::reasons::Reason;
+use cherrystream_core::request_times;
 use cherrystream_core::reservations::{Reservation, Reservations};
 use cherrystream_core::rollout;
 use cherrystream_core::shared;
@@ -305,7 +305,7 @@
         // before its deadline.
         let deadline = match nested {
             true => call.deadline.at(),
-            false => call_times::waits_until(now, call.deadline.at(), call.wait_at_most),
+            false => request_times::wait_deadline(now, call.deadline.at(), call.wait_at_most),
         };
         let arrival = Arrival {
             nested,
--- a/crates/cherrystream-daemon/src/outbound/request.rs
+++ b/crates/cherrystream-daemon/src/outbound/request.rs
@@ -8,11 +8,11 @@
 use crate::held::Held;
 use crate::refusal::Refused;
 use crate::request_log::RequestSummary;
-use cherrystream_core::call_times::{CallTimes, Given};
 use cherrystream_core::deadline::Deadline;
 use cherrystream_core::kinds::Treatment;
 use cherrystream_core::quota::Charge;
 use cherrystream_core::reasons::{Outcome, Reason};
+use cherrystream_core::request_times::{RequestTimes, TimeInputs};
 use cherrystream_core::retry::Allowance;
 use cherrystream_core::routes::RouteIndex;
 use cherrystream_core::suspects::identity::{self, Identity};
@@ -69,7 +69,7 @@
     /// Offers to backend servers that may still turn it down for being busy.
     pub(super) selective_offers: u32,
     /// Its times, where a route tells in which time an answer is wanted.
-    pub(super) times: Option<CallTimes>,
+    pub(super) times: Option<RequestTimes>,
     /// Workspace that it belongs to, with its key.
     pub(super) member: Option<Member>,
     /// Its part of the quota of its workspace. A second attempt beside it has none: both are one request.
@@ -139,7 +139,7 @@
             under_way: self.under_way.clone(),
             broke: None,
             selective_offers: 1,
-            times: Some(CallTimes { nearby_until: None, ..times }),
+            times: Some(RequestTimes { nearby_until: None, ..times }),
             member: self.member.clone(),
             charge: None,
             identity: self.identity,
@@ -271,7 +271,7 @@
     // An answer is in time by the clock of the caller, which may have asked before.
     let asked_before = first_asked(outbound, &treatment, head.time_left);
     let times = route.as_ref().map(|named| {
-        CallTimes::new(Given {
+        RequestTimes::new(TimeInputs {
             now,
             target: Duration::from_micros(named.route.target_us),
             asked_before,
