--- a/crates/cherrystream-core/src/request_times.rs
+++ b/crates/cherrystream-core/src/request_times.rs
@@ -10,10 +10,10 @@
 const CROSSING_BYTES: f64 = 16.0 * 1024.0;
 /// Shortest worthwhile stay in the own failure domain: most slow periods of backend servers last
 /// longer than a shorter one.
-const MIN_NEARBY_TIME: Duration = Duration::from_millis(200);
+const MIN_OWN_DOMAIN_TIME: Duration = Duration::from_millis(200);
 /// Largest share of the remaining target latency that a request stays in its own failure domain;
 /// the rest is left to be in time elsewhere.
-const MAX_NEARBY_SHARE: f64 = 0.5;
+const MAX_OWN_DOMAIN_SHARE: f64 = 0.5;
 /// Share of the target latency after which a hedged attempt may start.
 const HEDGE_AFTER_SHARE: f64 = 0.55;
 
@@ -35,7 +35,7 @@
     /// Target latency.
     pub target: Duration,
     /// Time since the caller first sent it.
-    pub asked_before: Duration,
+    pub elapsed: Duration,
     /// Whether it may run more than once.
     pub repeatable: bool,
     /// Length of the body.
@@ -50,9 +50,9 @@
     /// Time until which an answer is useful.
     pub good_until: Timestamp,
     /// Time until which it may wait for a slot.
-    pub patience: Timestamp,
+    pub queue_until: Timestamp,
     /// Time until which it stays in its own failure domain, if its body is long.
-    pub nearby_until: Option<Timestamp>,
+    pub own_domain_until: Option<Timestamp>,
     /// Delay after which a hedged attempt may start.
     pub hedge_after: Option<Duration>,
 }
@@ -60,22 +60,21 @@
 impl RequestTimes {
     /// Derives the time limits.
     pub fn new(inputs: TimeInputs) -> RequestTimes {
-        let TimeInputs { now, target, asked_before, repeatable, body_bytes, crossing_cost } =
-            inputs;
-        let useful_for = target.saturating_sub(asked_before);
-        let max_nearby = crossing_cost.mul_f64(body_bytes as f64 / CROSSING_BYTES);
-        let nearby = (max_nearby >= MIN_NEARBY_TIME)
-            .then(|| max_nearby.min(useful_for.mul_f64(MAX_NEARBY_SHARE)));
+        let TimeInputs { now, target, elapsed, repeatable, body_bytes, crossing_cost } = inputs;
+        let useful_for = target.saturating_sub(elapsed);
+        let max_own_domain = crossing_cost.mul_f64(body_bytes as f64 / CROSSING_BYTES);
+        let own_domain = (max_own_domain >= MIN_OWN_DOMAIN_TIME)
+            .then(|| max_own_domain.min(useful_for.mul_f64(MAX_OWN_DOMAIN_SHARE)));
         RequestTimes {
             good_until: now + useful_for,
-            patience: now + target / QUEUE_WAIT_DIVISOR,
-            nearby_until: nearby.map(|time| now + time),
+            queue_until: now + target / QUEUE_WAIT_DIVISOR,
+            own_domain_until: own_domain.map(|time| now + time),
             hedge_after: repeatable.then(|| target.mul_f64(HEDGE_AFTER_SHARE)),
         }
     }
 
     /// Returns whether the request stays in its own failure domain at time `now`.
-    pub fn stays_nearby(&self, now: Timestamp) -> bool {
-        self.nearby_until.is_some_and(|until| now < until)
+    pub fn stays_in_own_domain(&self, now: Timestamp) -> bool {
+        self.own_domain_until.is_some_and(|until| now < until)
     }
 }
--- a/crates/cherrystream-core/tests/nested_calls.rs
+++ b/crates/cherrystream-core/tests/nested_calls.rs
@@ -98,12 +98,12 @@
     let inputs = TimeInputs {
         now: ms(now - NETWORK_DELAY),
         target: TARGET,
-        asked_before: Duration::ZERO,
+        elapsed: Duration::ZERO,
         repeatable: true,
         body_bytes: 0,
         crossing_cost: Duration::ZERO,
     };
-    let wait = RequestTimes::new(inputs).patience.since(ms(now));
+    let wait = RequestTimes::new(inputs).queue_until.since(ms(now));
     let until = wait_limit(ms(now), ms(now + USEFUL_MS), wait);
     let mut budget = RetryBudget::new(0.1);
     let mut allowance = Allowance::new(None);
--- a/crates/cherrystream-core/tests/request_times.rs
+++ b/crates/cherrystream-core/tests/request_times.rs
@@ -4,29 +4,29 @@
 use cherrystream_core::units::Timestamp;
 use std::time::Duration;
 
-fn times(body_bytes: usize, asked_before: u64) -> RequestTimes {
+fn times(body_bytes: usize, elapsed: u64) -> RequestTimes {
     RequestTimes::new(TimeInputs {
         now: Timestamp::from_millis(1_000),
         target: Duration::from_millis(800),
-        asked_before: Duration::from_millis(asked_before),
+        elapsed: Duration::from_millis(elapsed),
         repeatable: false,
         body_bytes,
         crossing_cost: Duration::from_millis(200),
     })
 }
 
-fn nearby_until(body_bytes: usize, asked_before: u64) -> Option<u64> {
-    times(body_bytes, asked_before).nearby_until.map(Timestamp::as_millis)
+fn own_domain_until(body_bytes: usize, elapsed: u64) -> Option<u64> {
+    times(body_bytes, elapsed).own_domain_until.map(Timestamp::as_millis)
 }
 
 #[test]
 fn the_time_in_the_own_failure_domain_grows_with_the_body() {
-    assert_eq!(nearby_until(0, 0), None);
-    assert_eq!(nearby_until(1_200, 0), None, "shorter than an offer takes");
-    assert_eq!(nearby_until(6 * 1_024, 0), None, "shorter than most slow periods");
-    assert_eq!(nearby_until(16 * 1_024, 0), Some(1_200));
-    assert_eq!(nearby_until(60 * 1_024, 0), Some(1_400), "half of the target at most");
-    assert_eq!(nearby_until(60 * 1_024, 600), Some(1_100), "half of what is left of it");
+    assert_eq!(own_domain_until(0, 0), None);
+    assert_eq!(own_domain_until(1_200, 0), None, "shorter than an offer takes");
+    assert_eq!(own_domain_until(6 * 1_024, 0), None, "shorter than most slow periods");
+    assert_eq!(own_domain_until(16 * 1_024, 0), Some(1_200));
+    assert_eq!(own_domain_until(60 * 1_024, 0), Some(1_400), "half of the target at most");
+    assert_eq!(own_domain_until(60 * 1_024, 600), Some(1_100), "half of what is left of it");
 }
 
 #[test]
--- a/crates/cherrystream-daemon/src/outbound/request.rs
+++ b/crates/cherrystream-daemon/src/outbound/request.rs
@@ -109,7 +109,7 @@
 
     /// Returns whether it stays in its own failure domain for now.
     pub(super) fn stays_nearby(&self, now: Timestamp) -> bool {
-        self.is_selective() && self.times.is_some_and(|times| times.stays_nearby(now))
+        self.is_selective() && self.times.is_some_and(|times| times.stays_in_own_domain(now))
     }
 
     /// Returns the request once more, for a second attempt while the first one runs.
@@ -139,7 +139,7 @@
             under_way: self.under_way.clone(),
             broke: None,
             selective_offers: 1,
-            times: Some(RequestTimes { nearby_until: None, ..times }),
+            times: Some(RequestTimes { own_domain_until: None, ..times }),
             member: self.member.clone(),
             charge: None,
             identity: self.identity,
@@ -269,12 +269,12 @@
     }
     .identity(&outbound.fingerprints);
     // An answer is in time by the clock of the caller, which may have asked before.
-    let asked_before = first_asked(outbound, &treatment, head.time_left);
+    let elapsed = first_asked(outbound, &treatment, head.time_left);
     let times = route.as_ref().map(|named| {
         RequestTimes::new(TimeInputs {
             now,
             target: Duration::from_micros(named.route.target_us),
-            asked_before,
+            elapsed,
             repeatable: named.route.repeatable,
             body_bytes: body.bytes(),
             crossing_cost: outbound.crossing_cost,
--- a/crates/cherrystream-daemon/src/outbound/send.rs
+++ b/crates/cherrystream-daemon/src/outbound/send.rs
@@ -178,7 +178,7 @@
     pub(super) fn wait_left(&self, call: &Call) -> Duration {
         let now = self.clock.now();
         let remaining = call.deadline.remaining(now).unwrap_or_default();
-        let patience = call.times.map(|times| times.patience.since(now));
+        let patience = call.times.map(|times| times.queue_until.since(now));
         patience.map_or(remaining, |patience| patience.min(remaining))
     }
 
