--- a/crates/cherrystream-core/src/measuring.rs
+++ b/crates/cherrystream-core/src/measuring.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Check {
     /// The backend server reported its state.
-    Said(ServerState),
+    Reported(ServerState),
     /// The check timed out, or its response was invalid.
     Failed,
 }
@@ -72,7 +72,7 @@
     /// Records the result of a check and returns the state.
     pub fn on_check(&mut self, check: Check) -> ServerState {
         match check {
-            Check::Said(state) => {
+            Check::Reported(state) => {
                 self.failures = 0;
                 self.state = state;
             }
--- a/crates/cherrystream-core/tests/decisions.rs
+++ b/crates/cherrystream-core/tests/decisions.rs
@@ -204,10 +204,10 @@
     }
     let mut health = Health::default();
     s.event("a check fails", health.on_check(Check::Failed));
-    s.event("the next succeeds", health.on_check(Check::Said(ServerState::Live)));
+    s.event("the next succeeds", health.on_check(Check::Reported(ServerState::Live)));
     s.event("a check fails", health.on_check(Check::Failed));
     s.event("a second check in a row fails", health.on_check(Check::Failed));
-    s.event("the backend server starts", health.on_check(Check::Said(ServerState::Starting)));
-    s.event("the backend server drains", health.on_check(Check::Said(ServerState::Draining)));
+    s.event("the backend server starts", health.on_check(Check::Reported(ServerState::Starting)));
+    s.event("the backend server drains", health.on_check(Check::Reported(ServerState::Draining)));
     insta::assert_snapshot!(s.0);
 }
--- a/crates/cherrystream-daemon/src/doors.rs
+++ b/crates/cherrystream-daemon/src/doors.rs
@@ -141,9 +141,9 @@
         let earlier = slot.replace(Beside { door: door.clone(), born_ms: word.born_ms });
         drop(slot);
         if let Some(earlier) = earlier.filter(|b| b.door.id == door.id && !b.is_for(word)) {
-            earlier.door.on_check(Check::Said(ServerState::Down));
+            earlier.door.on_check(Check::Reported(ServerState::Down));
         }
-        door.on_check(Check::Said(word.state));
+        door.on_check(Check::Reported(word.state));
     }
 
     fn open_beside(&self, word: &Instance, is_new: bool, earlier: Option<&Door>) -> Arc<Door> {
--- a/crates/cherrystream-daemon/src/inbound/exchange.rs
+++ b/crates/cherrystream-daemon/src/inbound/exchange.rs
@@ -105,7 +105,7 @@
                 // The instance is gone, and whoever took its address has not reported yet. Each further send would be
                 // turned away as well, and count among the arrivals that a request may have.
                 at_work.proves_nothing();
-                door.on_check(Check::Said(ServerState::Down));
+                door.on_check(Check::Reported(ServerState::Down));
                 return Err(self.refuse(Reason::OtherInstance));
             }
             Execution::WrongRequest => {
--- a/crates/cherrystream-daemon/src/measure.rs
+++ b/crates/cherrystream-daemon/src/measure.rs
@@ -84,7 +84,7 @@
     m.metrics.measuring.get_or_create(&ServerLabel { server: door.id.name.to_string() }).inc();
     let asked = tokio::time::timeout(CHECK_TIMEOUT, ask(&door.backend)).await;
     let check = match asked {
-        Ok(Ok(state)) => Check::Said(state),
+        Ok(Ok(state)) => Check::Reported(state),
         _ => Check::Failed,
     };
     door.on_check(check);
