--- a/crates/cherrystream-core/src/measuring.rs
+++ b/crates/cherrystream-core/src/health.rs
@@ -12,15 +12,15 @@
 
 /// Allows at most a fixed number of probes in any second.
 #[derive(Debug)]
-pub struct MeasuringBudget {
+pub struct ProbeBudget {
     per_second: u32,
     sent: VecDeque<Timestamp>,
 }
 
-impl MeasuringBudget {
+impl ProbeBudget {
     /// Creates a budget of `per_second` probes.
-    pub fn new(per_second: u32) -> MeasuringBudget {
-        MeasuringBudget { per_second, sent: VecDeque::new() }
+    pub fn new(per_second: u32) -> ProbeBudget {
+        ProbeBudget { per_second, sent: VecDeque::new() }
     }
 
     /// Replaces the number of probes per second.
--- a/crates/cherrystream-core/tests/decisions.rs
+++ b/crates/cherrystream-core/tests/decisions.rs
@@ -4,7 +4,7 @@
 
 use cherrystream_core::admission::{self, Admission, Arrival, Ticket};
 use cherrystream_core::choose::{self, Distance, ServerId, Table};
-use cherrystream_core::measuring::{Check, Health, MeasuringBudget};
+use cherrystream_core::health::{Check, Health, ProbeBudget};
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::retry::{self, Allowance, Failed, RetryBudget};
 use cherrystream_schema::messages::{Report, ServerState};
@@ -198,7 +198,7 @@
 #[test]
 fn measuring_session() {
     let mut s = Session::default();
-    let mut budget = MeasuringBudget::new(3);
+    let mut budget = ProbeBudget::new(3);
     for at in [0, 100, 200, 300, 999, 1_000, 1_050, 1_100, 1_150] {
         s.event(&format!("at {at} ms"), budget.try_spend(ms(at)));
     }
--- a/crates/cherrystream-daemon/src/door.rs
+++ b/crates/cherrystream-daemon/src/door.rs
@@ -10,7 +10,7 @@
 };
 use cherrystream_core::cold_rate_limit::ColdLimits;
 use cherrystream_core::concurrency_limit::{self, ConcurrencyLimit};
-use cherrystream_core::measuring::{Check, Health, MeasuringBudget};
+use cherrystream_core::health::{Check, Health, ProbeBudget};
 use cherrystream_core::nested_calls::NestedCallDetector;
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::service_times::ServiceTimes;
@@ -56,7 +56,7 @@
     /// Connections to the backend server.
     pub backend: Pool,
     /// Budget for measuring it.
-    pub budget: Mutex<MeasuringBudget>,
+    pub budget: Mutex<ProbeBudget>,
     clock: Clock,
     /// Whether its backend server has ended, and under which requests. Taken with no other lock.
     ends: Mutex<Ends>,
@@ -93,7 +93,7 @@
             cold_times: ServiceTimes::default(),
             trial: TrialRecord::default(),
         };
-        let budget = Mutex::new(MeasuringBudget::new(measuring_per_second));
+        let budget = Mutex::new(ProbeBudget::new(measuring_per_second));
         let (ends, inner) = (Mutex::default(), Mutex::new(inner));
         Door { id, version: "".into(), backend, budget, clock, ends, inner }
     }
--- a/crates/cherrystream-daemon/src/doors.rs
+++ b/crates/cherrystream-daemon/src/doors.rs
@@ -6,7 +6,7 @@
 use cherrystream_core::admission;
 use cherrystream_core::cold_rate_limit::ColdLimits;
 use cherrystream_core::concurrency_limit::{self, Change, ConcurrencyLimit};
-use cherrystream_core::measuring::Check;
+use cherrystream_core::health::Check;
 use cherrystream_core::rollout;
 use cherrystream_net::clock::Clock;
 use cherrystream_net::interface::{BadReport, Fault, Misreport};
--- a/crates/cherrystream-daemon/src/inbound/exchange.rs
+++ b/crates/cherrystream-daemon/src/inbound/exchange.rs
@@ -7,7 +7,7 @@
 use crate::refusal::Refused;
 use crate::suspects::{AlonePlace, AtWork};
 use cherrystream_core::deadline::Deadline;
-use cherrystream_core::measuring::Check;
+use cherrystream_core::health::Check;
 use cherrystream_core::reasons::Reason;
 use cherrystream_net::body::{Body, Ending, Watched};
 use cherrystream_net::interface::{Execution, SendHead};
--- a/crates/cherrystream-daemon/src/measure.rs
+++ b/crates/cherrystream-daemon/src/measure.rs
@@ -3,7 +3,7 @@
 use crate::door::Door;
 use crate::inbound::Inbound;
 use crate::metrics::{Metrics, ServerLabel};
-use cherrystream_core::measuring::Check;
+use cherrystream_core::health::Check;
 use cherrystream_net::body::{self, Body, Start};
 use cherrystream_net::clock::Clock;
 use cherrystream_net::pool::{NoAnswer, Pool};
