--- a/crates/cherrystream-core/src/admission/mod.rs
+++ b/crates/cherrystream-core/src/admission/mod.rs
@@ -274,7 +274,7 @@
 
     /// Returns whether the health endpoint should be probed for the warmth of the backend server,
     /// and records the probe if so.
-    pub fn wants_warmth(&mut self, now: Timestamp) -> bool {
+    pub fn start_warmth_probe(&mut self, now: Timestamp) -> bool {
         self.opts.cold.is_some() && self.warmth.start_probe(now)
     }
 
@@ -289,12 +289,12 @@
     }
 
     /// Records that the instance is new: no earlier process sent requests to it.
-    pub fn on_new(&mut self) {
+    pub fn on_new_instance(&mut self) {
         self.cold_rate_limit.on_new();
     }
 
     /// Records a probe of the health endpoint; a cold backend server counts it as a request.
-    pub fn on_asked(&mut self, now: Timestamp) {
+    pub fn on_probe_sent(&mut self, now: Timestamp) {
         self.cold_rate_limit.on_sent(now);
     }
 
--- a/crates/cherrystream-core/src/warmth.rs
+++ b/crates/cherrystream-core/src/warmth.rs
@@ -27,7 +27,7 @@
 
 impl Warmth {
     /// Records the warmth in a health response, which is always current.
-    pub fn on_answer(&mut self, now: Timestamp, cold_for: Duration) {
+    pub fn on_health_response(&mut self, now: Timestamp, cold_for: Duration) {
         self.cold_until = now + cold_for;
         self.last_seen = Some(now);
     }
@@ -44,7 +44,7 @@
     }
 
     /// Discards the reports: the backend server may have become cold since.
-    pub fn doubt(&mut self) {
+    pub fn invalidate(&mut self) {
         self.last_seen = None;
         self.probed_at = None;
     }
--- a/crates/cherrystream-core/tests/cold.rs
+++ b/crates/cherrystream-core/tests/cold.rs
@@ -29,7 +29,7 @@
 /// Admission control of a new instance.
 fn new_admission() -> Admission {
     let mut admission = inherited_admission();
-    admission.on_new();
+    admission.on_new_instance();
     admission
 }
 
@@ -56,7 +56,7 @@
     assert!(warmth.is_cold(at(0)));
     assert!(warmth.start_probe(at(0)));
     assert!(!warmth.start_probe(at(50)), "one probe at a time");
-    warmth.on_answer(at(60), Duration::ZERO);
+    warmth.on_health_response(at(60), Duration::ZERO);
     assert!(!warmth.is_cold(at(60)));
     assert!(!warmth.start_probe(at(500)));
     assert!(warmth.start_probe(at(600)));
@@ -69,11 +69,11 @@
 #[test]
 fn a_delayed_report_does_not_end_a_cold_period() {
     let mut warmth = Warmth::default();
-    warmth.on_answer(at(0), ms(3_000));
+    warmth.on_health_response(at(0), ms(3_000));
     warmth.on_report(at(100), 7, Duration::ZERO);
     assert!(warmth.is_cold(at(2_900)));
     // An older report that arrives later is discarded.
-    warmth.on_answer(at(3_000), Duration::ZERO);
+    warmth.on_health_response(at(3_000), Duration::ZERO);
     warmth.on_report(at(3_100), 6, ms(3_000));
     assert!(!warmth.is_cold(at(3_100)));
 }
@@ -81,17 +81,17 @@
 #[test]
 fn a_server_that_becomes_cold_without_a_restart_is_detected_by_the_next_health_response() {
     let mut warmth = Warmth::default();
-    warmth.on_answer(at(0), Duration::ZERO);
-    warmth.doubt();
+    warmth.on_health_response(at(0), Duration::ZERO);
+    warmth.invalidate();
     assert!(warmth.is_cold(at(10)) && warmth.start_probe(at(10)));
-    warmth.on_answer(at(20), ms(2_000));
+    warmth.on_health_response(at(20), ms(2_000));
     assert!(warmth.is_cold(at(2_000)) && !warmth.is_cold(at(2_020)));
 }
 
 #[test]
 fn requests_that_a_cold_server_cannot_start_in_time_are_refused_at_once() {
     let mut admission = new_admission();
-    admission.warmth().on_answer(at(0), ms(3_000));
+    admission.warmth().on_health_response(at(0), ms(3_000));
     let mut refused = 0;
     for _ in 0..50 {
         match admission.arrive(at(0), arrival(at(0), false, ms(100))).0 {
@@ -110,7 +110,7 @@
 #[test]
 fn nested_calls_go_first_at_a_cold_server() {
     let mut admission = new_admission();
-    admission.warmth().on_answer(at(0), ms(3_000));
+    admission.warmth().on_health_response(at(0), ms(3_000));
     let mut last = Decision::Run(Ticket(0));
     while let Decision::Run(ticket) = last {
         admission.on_sent(at(0), ticket);
@@ -125,7 +125,7 @@
 #[test]
 fn a_restarted_process_sends_nothing_to_a_cold_server_in_its_first_second() {
     let mut admission = inherited_admission();
-    admission.warmth().on_answer(at(300), ms(3_000));
+    admission.warmth().on_health_response(at(300), ms(3_000));
     let Decision::Refuse(refusal) = admission.arrive(at(300), arrival(at(300), false, ms(100))).0
     else {
         panic!("the request was admitted");
@@ -138,7 +138,7 @@
 #[test]
 fn a_warm_server_has_no_rate_limit() {
     let mut admission = new_admission();
-    admission.warmth().on_answer(at(0), Duration::ZERO);
+    admission.warmth().on_health_response(at(0), Duration::ZERO);
     for _ in 0..40 {
         let decision = admission.arrive(at(0), arrival(at(0), false, SECOND)).0;
         assert!(matches!(decision, Decision::Run(_)), "{decision:?}");
@@ -187,7 +187,7 @@
         let mut now = at(0);
         while !u.is_empty() {
             now = now + Duration::from_millis(u.int_in_range(0..=40)?);
-            admission.warmth().on_answer(now, ms(3_000));
+            admission.warmth().on_health_response(now, ms(3_000));
             match u.int_in_range(0..=5)? {
                 0..=2 => {
                     let wait = ms(u.int_in_range(1..=800)?);
@@ -263,8 +263,8 @@
         self.cold_until = now + Self::COLD;
         self.back_at = now;
         self.arrivals.clear();
-        self.admission.on_new();
-        self.admission.warmth().on_answer(now, Self::COLD);
+        self.admission.on_new_instance();
+        self.admission.warmth().on_health_response(now, Self::COLD);
     }
 
     fn run(&mut self, now: Timestamp, ticket: Ticket) {
@@ -289,8 +289,8 @@
 
     /// Advances by a millisecond; returns the number of answered requests.
     fn step(&mut self, now: Timestamp) -> usize {
-        if now >= self.back_at && self.admission.wants_warmth(now) {
-            self.admission.warmth().on_answer(now, self.cold_until.since(now));
+        if now >= self.back_at && self.admission.start_warmth_probe(now) {
+            self.admission.warmth().on_health_response(now, self.cold_until.since(now));
         }
         let (ended, runs): (Vec<_>, Vec<_>) = self.runs.drain(..).partition(|(end, _)| *end <= now);
         self.runs = runs;
--- a/crates/cherrystream-daemon/src/door.rs
+++ b/crates/cherrystream-daemon/src/door.rs
@@ -289,23 +289,23 @@
     pub fn on_health(&self, word: &HealthWord) {
         let is_other = word.instance.as_ref().is_some_and(|name| **name != *self.id.name);
         if let Some(cold_for) = word.cold_for.filter(|_| !is_other) {
-            self.inner.lock().admission.warmth().on_answer(self.clock.now(), cold_for);
+            self.inner.lock().admission.warmth().on_health_response(self.clock.now(), cold_for);
         }
     }
 
     /// Notes that the backend server got nothing before this process knew it.
     pub fn on_new(&self) {
-        self.inner.lock().admission.on_new();
+        self.inner.lock().admission.on_new_instance();
     }
 
     /// Notes that the health endpoint is asked.
     pub fn on_asked(&self) {
-        self.inner.lock().admission.on_asked(self.clock.now());
+        self.inner.lock().admission.on_probe_sent(self.clock.now());
     }
 
     /// Forgets what was heard of the warmth of the backend server.
     pub fn doubt_warmth(&self) {
-        self.inner.lock().admission.warmth().doubt();
+        self.inner.lock().admission.warmth().invalidate();
     }
 
     /// Returns whether the backend server is given no more than a cold one takes.
@@ -315,7 +315,7 @@
 
     /// Returns whether the backend server should be asked how warm it is.
     pub fn wants_warmth(&self) -> bool {
-        self.inner.lock().admission.wants_warmth(self.clock.now())
+        self.inner.lock().admission.start_warmth_probe(self.clock.now())
     }
 
     fn on_sent(&self, ticket: Ticket) {
