--- a/crates/cherrystream-core/src/admission/mod.rs
+++ b/crates/cherrystream-core/src/admission/mod.rs
@@ -404,7 +404,7 @@
     }
 
     /// Returns the number of requests in flight at the backend server.
-    pub fn at_work(&self) -> u32 {
+    pub fn in_flight_count(&self) -> u32 {
         self.running.len() as u32
     }
 
--- a/crates/cherrystream-daemon/src/door.rs
+++ b/crates/cherrystream-daemon/src/door.rs
@@ -122,7 +122,7 @@
             version: self.version.to_string(),
             run: self.id.name.to_string(),
             started_at_ms,
-            at_work: inner.admission.at_work(),
+            at_work: inner.admission.in_flight_count(),
             kinds,
         })
     }
