--- a/crates/cherrystream-core/src/admission/mod.rs
+++ b/crates/cherrystream-core/src/admission/mod.rs
@@ -30,6 +30,7 @@
 /// free slot at another backend server.
 const AMPLE_CAPACITY_BELOW: f64 = 0.5;
 
+/// Key that orders the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     rank: Reverse<Rank>,
--- a/crates/cherrystream-core/src/request_times.rs
+++ b/crates/cherrystream-core/src/request_times.rs
@@ -6,7 +6,7 @@
 /// Divisor of the target latency that gives the longest time in a queue: a request refused after it
 /// can still be answered in time elsewhere.
 const QUEUE_WAIT_DIVISOR: u32 = 5;
-/// Body length at which the crossing cost between failure domains counts once.
+/// Body length at which leaving the own failure domain costs one `crossing_cost`.
 const CROSSING_BYTES: f64 = 16.0 * 1024.0;
 /// Shortest worthwhile stay in the own failure domain: most slow periods of backend servers last
 /// longer than a shorter one.
