--- a/crates/cherrystream-core/src/admission/mod.rs
+++ b/crates/cherrystream-core/src/admission/mod.rs
@@ -4,14 +4,14 @@
 mod fair;
 mod request;
 
-pub use fair::Sharer;
-pub use request::{Action, Arrival, Options, Rank, Refusal, Ticket, Verdict};
+pub use fair::Flow;
+pub use request::{Action, Arrival, Decision, Options, Rank, Refusal, Ticket};
 
-use crate::cold_pace::{ColdLimits, ColdPace};
-use crate::pace::Pace;
+use crate::cold_rate_limit::{ColdLimits, ColdRateLimit};
+use crate::concurrency_limit::{self, ConcurrencyLimit};
 use crate::reasons::Reason;
 use crate::reserve::Reserve;
-use crate::room::{self, Room};
+use crate::slowness::Slowness;
 use crate::units::{Timestamp, micros};
 use crate::warmth::Warmth;
 use cherrystream_schema::messages::ServerState;
@@ -30,6 +30,7 @@
 /// free slot at another backend server.
 const AMPLE_CAPACITY_BELOW: f64 = 0.5;
 
+/// Key that orders the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     rank: Reverse<Rank>,
@@ -64,7 +65,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Running {
     since: Timestamp,
-    called: bool,
+    nested: bool,
     /// Whether its workspace has used more than its fair share.
     over_share: bool,
     /// Whether it was sent to the backend server.
@@ -84,11 +85,11 @@
     waiting: BTreeMap<QueueKey, Waiting>,
     fair_share: FairShare,
     latency: Duration,
-    pace: Pace,
+    slowness: Slowness,
     warmth: Warmth,
-    cold_pace: ColdPace,
+    cold_rate_limit: ColdRateLimit,
     /// Adaptive concurrency limit; replaces the fixed share of the slots.
-    room: Option<Room>,
+    concurrency_limit: Option<ConcurrencyLimit>,
     next_ticket: u64,
     sequence: u64,
 }
@@ -105,10 +106,10 @@
             waiting: BTreeMap::new(),
             fair_share: FairShare::default(),
             latency: Duration::from_millis(5),
-            pace: Pace::default(),
+            slowness: Slowness::default(),
             warmth: Warmth::default(),
-            cold_pace: ColdPace::default(),
-            room: None,
+            cold_rate_limit: ColdRateLimit::default(),
+            concurrency_limit: None,
             next_ticket: 0,
             sequence: 0,
         }
@@ -116,34 +117,40 @@
 
     /// Replaces the settings; requests that were admitted stay.
     pub fn set_options(&mut self, opts: Options) {
-        if let Some(room) = self.room.take_if(|room| room.slots() != opts.slots) {
-            self.room = Some(room.with_slots(opts.slots, opts.share));
+        if let Some(limit) = self.concurrency_limit.take_if(|limit| limit.slots() != opts.slots) {
+            self.concurrency_limit = Some(limit.with_slots(opts.slots, opts.share));
         }
         self.opts = opts;
     }
 
-    /// Replaces the fixed share of the slots by an adaptive concurrency limit. `room` may hold what
+    /// Replaces the fixed share of the slots by an adaptive concurrency limit. `limit` may hold what
     /// was learned from an earlier instance.
-    pub fn learn_room(&mut self, room: Room) {
-        self.room = Some(room);
+    pub fn set_concurrency_limit(&mut self, limit: ConcurrencyLimit) {
+        self.concurrency_limit = Some(limit);
     }
 
     /// Returns the adaptive concurrency limit, if there is one.
-    pub fn room(&mut self) -> Option<&mut Room> {
-        self.room.as_mut()
+    pub fn concurrency_limit(&mut self) -> Option<&mut ConcurrencyLimit> {
+        self.concurrency_limit.as_mut()
     }
 
     /// Records the service time of an answered request, before [`Admission::finish`]. Service times
     /// of a cold backend server are ignored: they don't depend on concurrency alone.
-    pub fn on_worked(&mut self, now: Timestamp, ticket: Ticket, work: &room::Work<'_>) {
+    pub fn on_service_time(
+        &mut self,
+        now: Timestamp,
+        ticket: Ticket,
+        work: &concurrency_limit::Work<'_>,
+    ) {
         if self.is_cold(now) {
             return;
         }
         let slowness_after = self.slowness(now);
         let Some(running) = self.running.get(&ticket) else { return };
-        let Some(room) = &mut self.room else { return };
-        let answer = room::Answer { work: *work, level: running.level, slowness_after };
-        room.on_answer(now, &answer);
+        let Some(limit) = &mut self.concurrency_limit else { return };
+        let answer =
+            concurrency_limit::Answer { work: *work, level: running.level, slowness_after };
+        limit.on_answer(now, &answer);
     }
 
     /// Replaces the limits that apply while the backend server is cold.
@@ -152,73 +159,72 @@
     }
 
     /// Decides on a request that belongs to no flow.
-    pub fn arrive(&mut self, now: Timestamp, arrival: Arrival) -> (Verdict, Vec<Action>) {
+    pub fn arrive(&mut self, now: Timestamp, arrival: Arrival) -> (Decision, Vec<Action>) {
         self.arrive_for(now, arrival, None)
     }
 
-    /// Decides on a request; `sharer` is the flow that it belongs to, if any.
+    /// Decides on a request; `flow` is the flow that it belongs to, if any.
     pub fn arrive_for(
         &mut self,
         now: Timestamp,
         arrival: Arrival,
-        sharer: Option<&Sharer>,
-    ) -> (Verdict, Vec<Action>) {
+        flow: Option<&Flow>,
+    ) -> (Decision, Vec<Action>) {
         let mut actions = Vec::new();
         if let Some(reason) = self.closed_reason() {
-            return (Verdict::Refuse(self.refusal(reason)), actions);
+            return (Decision::Refuse(self.refusal(reason)), actions);
         }
         let Some(remaining) = non_zero(arrival.deadline.since(now)) else {
-            return (Verdict::Refuse(self.refusal(Reason::DeadlineBeforeStart)), actions);
+            return (Decision::Refuse(self.refusal(Reason::DeadlineBeforeStart)), actions);
         };
         // Nested calls belong to no flow.
-        let sharer = sharer.filter(|_| !arrival.called);
+        let flow = flow.filter(|_| !arrival.nested);
         let rank = arrival.rank(now);
-        let over_share = sharer.is_some_and(|sharer| self.fair_share.is_over_share(now, sharer));
-        let usage =
-            sharer.map_or(Usage::default(), |sharer| self.fair_share.on_request(now, sharer));
+        let over_share = flow.is_some_and(|flow| self.fair_share.is_over_share(now, flow));
+        let usage = flow.map_or(Usage::default(), |flow| self.fair_share.on_request(now, flow));
         let key = QueueKey { rank: Reverse(rank), usage, ticket: Ticket(self.next_ticket + 1) };
         if arrival.selective && self.is_busy(now, &arrival, key, over_share) {
             self.note_limit_reached(now);
-            return (Verdict::Refuse(self.busy_refusal(now, key, over_share)), actions);
+            return (Decision::Refuse(self.busy_refusal(now, key, over_share)), actions);
         }
         self.next_ticket += 1;
         let ticket = key.ticket;
-        if self.is_next(key) && self.has_slot(now, rank.called, over_share) {
-            self.add_nested_call(now, rank.called);
-            self.charge(now, &arrival, ticket, sharer);
-            self.start(now, ticket, rank.called, over_share);
-            return (Verdict::Run(ticket), actions);
+        if self.is_next(key) && self.has_slot(now, rank.nested, over_share) {
+            self.add_nested_call(now, rank.nested);
+            self.charge(now, &arrival, ticket, flow);
+            self.start(now, ticket, rank.nested, over_share);
+            return (Decision::Run(ticket), actions);
         }
         self.note_limit_reached(now);
         if let Some(refusal) = self.cold_refusal(now, &arrival, rank, remaining) {
-            return (Verdict::Refuse(refusal), actions);
+            return (Decision::Refuse(refusal), actions);
         }
         // A refused nested call wastes the work of its parent, so it waits regardless of the
         // estimate.
-        if !rank.called && self.expected_wait(key) > remaining {
+        if !rank.nested && self.expected_wait(key) > remaining {
             let reason = self.long_wait_reason(key, remaining);
-            return (Verdict::Refuse(self.refusal(reason)), actions);
+            return (Decision::Refuse(self.refusal(reason)), actions);
         }
-        if !rank.called && self.waiting.len() >= self.opts.queue as usize {
+        if !rank.nested && self.waiting.len() >= self.opts.queue as usize {
             match self.shed_last(now, key) {
                 // Only requests with a lower priority are shed, and nested calls have the highest.
                 Some(shed) => actions.push(shed),
                 None => {
-                    return (Verdict::Refuse(self.refusal(Reason::QueueFull)), actions);
+                    return (Decision::Refuse(self.refusal(Reason::QueueFull)), actions);
                 }
             }
         }
-        self.add_nested_call(now, rank.called);
-        self.charge(now, &arrival, ticket, sharer);
+        self.add_nested_call(now, rank.nested);
+        self.charge(now, &arrival, ticket, flow);
         self.waiting.insert(key, Waiting { deadline: arrival.deadline, over_share });
-        (Verdict::Wait(ticket), actions)
+        (Decision::Wait(ticket), actions)
     }
 
     /// Records that a request left the backend server, with or without an answer.
     pub fn finish(&mut self, now: Timestamp, ticket: Ticket, answered: bool) -> Vec<Action> {
         let ended = self.running.remove(&ticket);
         if let Some(running) = ended {
-            self.remove_nested_call(now, running.called);
+            self.remove_nested_call(now, running.nested);
         }
         if let Some(running) = ended
             && answered
@@ -231,30 +237,30 @@
     }
 
     /// Records the slowness that the backend server reported.
-    pub fn on_pace(&mut self, now: Timestamp, slowness: u32) {
-        self.pace.on_report(now, slowness);
+    pub fn on_slowness(&mut self, now: Timestamp, slowness: u32) {
+        self.slowness.on_report(now, slowness);
     }
 
     /// Returns whether the backend server should be probed for its slowness.
-    pub fn wants_pace(&self, now: Timestamp) -> bool {
-        self.pace.needs_probe(now)
+    pub fn needs_slowness_probe(&self, now: Timestamp) -> bool {
+        self.slowness.needs_probe(now)
     }
 
     /// Returns whether a request should wait for a new slowness report before it is decided on.
     /// Only when free slots are ample: when they are scarce, many answers carry reports, and a
     /// refused request finds no better backend server.
-    pub fn wants_pace_first(&self, now: Timestamp, arrival: &Arrival) -> bool {
+    pub fn needs_slowness_first(&self, now: Timestamp, arrival: &Arrival) -> bool {
         let within = arrival.good_until.map(|until| until.since(now));
         let taken = (self.running.len() + self.waiting.len()) as f64;
         let has_ample_capacity = taken <= AMPLE_CAPACITY_BELOW * f64::from(self.slots_now(now));
         arrival.selective
             && has_ample_capacity
-            && self.pace.needs_report_first(now, arrival.usual, within)
+            && self.slowness.needs_report_first(now, arrival.typical_time, within)
     }
 
     /// Records that a slowness probe timed out while a request waited for it.
-    pub fn on_no_pace(&mut self, now: Timestamp) {
-        self.pace.on_probe_timeout(now);
+    pub fn on_slowness_timeout(&mut self, now: Timestamp) {
+        self.slowness.on_probe_timeout(now);
     }
 
     /// Returns the warmth of the backend server.
@@ -269,7 +275,7 @@
 
     /// Returns whether the health endpoint should be probed for the warmth of the backend server,
     /// and records the probe if so.
-    pub fn wants_warmth(&mut self, now: Timestamp) -> bool {
+    pub fn start_warmth_probe(&mut self, now: Timestamp) -> bool {
         self.opts.cold.is_some() && self.warmth.start_probe(now)
     }
 
@@ -279,18 +285,18 @@
             && !running.sent
         {
             running.sent = true;
-            self.cold_pace.on_sent(now);
+            self.cold_rate_limit.on_sent(now);
         }
     }
 
     /// Records that the instance is new: no earlier process sent requests to it.
-    pub fn on_new(&mut self) {
-        self.cold_pace.on_new();
+    pub fn on_new_instance(&mut self) {
+        self.cold_rate_limit.on_new();
     }
 
     /// Records a probe of the health endpoint; a cold backend server counts it as a request.
-    pub fn on_asked(&mut self, now: Timestamp) {
-        self.cold_pace.on_sent(now);
+    pub fn on_probe_sent(&mut self, now: Timestamp) {
+        self.cold_rate_limit.on_sent(now);
     }
 
     fn cold_limits(&self, now: Timestamp) -> Option<ColdLimits> {
@@ -299,7 +305,7 @@
 
     fn cold_limit_allows(&mut self, now: Timestamp) -> bool {
         let Some(limits) = self.cold_limits(now) else { return true };
-        self.cold_pace.allows(now, &limits, self.unsent())
+        self.cold_rate_limit.allows(now, &limits, self.unsent())
     }
 
     /// Returns the number of admitted requests that are not sent yet.
@@ -312,7 +318,7 @@
     fn cold_wait(&mut self, now: Timestamp, rank: Rank) -> Option<Duration> {
         let limits = self.cold_limits(now)?;
         let ahead = self.waiting.keys().filter(|key| key.rank.0 >= rank).count();
-        Some(self.cold_pace.wait(now, &limits, ahead + self.unsent()))
+        Some(self.cold_rate_limit.wait(now, &limits, ahead + self.unsent()))
     }
 
     /// Refuses a request that a cold backend server cannot start in time: within its deadline, and
@@ -326,13 +332,13 @@
     ) -> Option<Refusal> {
         let wait = self.cold_wait(now, rank)?;
         let useful_for = arrival.good_until.map_or(remaining, |until| until.since(now));
-        let max_wait = if rank.called { useful_for.min(remaining) } else { remaining };
+        let max_wait = if rank.nested { useful_for.min(remaining) } else { remaining };
         (wait > max_wait).then_some(Refusal { reason: Reason::ServerCold, retry_after: wait })
     }
 
     /// Returns the slowness of the backend server, in hundredths of the normal service time.
     pub fn slowness(&self, now: Timestamp) -> u32 {
-        self.pace.slowness(now)
+        self.slowness.current(now)
     }
 
     /// Returns whether a request is likely served better elsewhere: the backend server is too slow
@@ -345,18 +351,18 @@
         over_share: bool,
     ) -> bool {
         let within = arrival.good_until.map(|until| until.since(now));
-        if self.pace.is_too_slow(now, arrival.usual, within) {
-            self.pace.on_refused();
+        if self.slowness.is_too_slow(now, arrival.typical_time, within) {
+            self.slowness.on_refused();
             return true;
         }
-        !self.is_next(key) || !self.has_slot(now, arrival.called, over_share)
+        !self.is_next(key) || !self.has_slot(now, arrival.nested, over_share)
     }
 
     /// Returns the refusal of a request that can go to other backend servers.
     fn busy_refusal(&mut self, now: Timestamp, key: QueueKey, over_share: bool) -> Refusal {
         let rank = key.rank.0;
-        if self.is_next(key) && self.slot(now, rank.called, over_share) == Slot::LeftToOthers {
-            return Refusal::making_way();
+        if self.is_next(key) && self.slot(now, rank.nested, over_share) == Slot::LeftToOthers {
+            return Refusal::yielded_slot();
         }
         let refusal = self.refusal(Reason::BusyNow);
         let cold_wait = self.cold_wait(now, rank).unwrap_or_default();
@@ -399,7 +405,7 @@
     }
 
     /// Returns the number of requests in flight at the backend server.
-    pub fn at_work(&self) -> u32 {
+    pub fn in_flight_count(&self) -> u32 {
         self.running.len() as u32
     }
 
@@ -418,7 +424,7 @@
             slots: self.slots_now(now),
             latency_us: micros(self.latency),
             oldest_us: micros(oldest),
-            slowness: self.pace.slowness(now),
+            slowness: self.slowness.current(now),
             state: self.state,
             sequence: self.sequence,
             incarnation,
@@ -460,27 +466,27 @@
     }
 
     fn slots_used(&self) -> u32 {
-        if let Some(room) = &self.room {
-            return room.limit();
+        if let Some(limit) = &self.concurrency_limit {
+            return limit.limit();
         }
         ((f64::from(self.opts.slots) * self.opts.share) as u32).max(1)
     }
 
     /// Returns whether a slot is free for a request.
-    fn has_slot(&mut self, now: Timestamp, called: bool, over_share: bool) -> bool {
-        self.slot(now, called, over_share) == Slot::Free
+    fn has_slot(&mut self, now: Timestamp, nested: bool, over_share: bool) -> bool {
+        self.slot(now, nested, over_share) == Slot::Free
     }
 
     /// Returns the availability of a slot for a request, which may be a nested call.
-    fn slot(&mut self, now: Timestamp, called: bool, over_share: bool) -> Slot {
+    fn slot(&mut self, now: Timestamp, nested: bool, over_share: bool) -> Slot {
         if !self.cold_limit_allows(now) {
             return Slot::Taken;
         }
         let slots = self.slots_now(now);
-        if called {
+        if nested {
             return Slot::free_if(self.running.len() < slots as usize);
         }
-        let calls = self.running.values().filter(|r| r.called).count();
+        let calls = self.running.values().filter(|r| r.nested).count();
         let reserved = self.reserve.reserved(now, slots, calls as u32);
         let limit = slots.saturating_sub(reserved) as usize;
         match Slot::free_if(self.running.len() < limit) {
@@ -499,26 +505,26 @@
     /// Records that a request found no slot, if the concurrency limit is the reason.
     fn note_limit_reached(&mut self, now: Timestamp) {
         let is_full = self.running.len() >= self.slots_used() as usize;
-        if let Some(room) = self.room.as_mut().filter(|_| is_full) {
-            room.on_limit_reached(now);
+        if let Some(limit) = self.concurrency_limit.as_mut().filter(|_| is_full) {
+            limit.on_limit_reached(now);
         }
     }
 
-    fn add_nested_call(&mut self, now: Timestamp, called: bool) {
-        if called {
+    fn add_nested_call(&mut self, now: Timestamp, nested: bool) {
+        if nested {
             self.reserve.on_arrival(now);
         }
     }
 
-    fn remove_nested_call(&mut self, now: Timestamp, called: bool) {
-        if called {
+    fn remove_nested_call(&mut self, now: Timestamp, nested: bool) {
+        if nested {
             self.reserve.on_end(now);
         }
     }
 
     /// Releases what was accounted for a queued request that is not served.
     fn release_unserved(&mut self, now: Timestamp, key: QueueKey) {
-        self.remove_nested_call(now, key.rank.0.called);
+        self.remove_nested_call(now, key.rank.0.nested);
         self.fair_share.on_unserved(now, key.ticket);
     }
 
@@ -528,23 +534,17 @@
         self.release_unserved(now, key);
     }
 
-    fn start(&mut self, now: Timestamp, ticket: Ticket, called: bool, over_share: bool) {
+    fn start(&mut self, now: Timestamp, ticket: Ticket, nested: bool, over_share: bool) {
         self.fair_share.on_started(ticket);
         let level = self.running.len() as u32 + 1;
-        self.running.insert(ticket, Running { since: now, called, over_share, sent: false, level });
+        self.running.insert(ticket, Running { since: now, nested, over_share, sent: false, level });
     }
 
     /// Charges a flow for a request that is admitted or queued.
-    fn charge(
-        &mut self,
-        now: Timestamp,
-        arrival: &Arrival,
-        ticket: Ticket,
-        sharer: Option<&Sharer>,
-    ) {
-        let work = arrival.usual.unwrap_or(self.latency);
-        if let Some(sharer) = sharer {
-            self.fair_share.on_admitted(now, ticket, sharer, work);
+    fn charge(&mut self, now: Timestamp, arrival: &Arrival, ticket: Ticket, flow: Option<&Flow>) {
+        let work = arrival.typical_time.unwrap_or(self.latency);
+        if let Some(flow) = flow {
+            self.fair_share.on_admitted(now, ticket, flow, work);
         }
     }
 
@@ -609,7 +609,7 @@
     fn next_to_start(&mut self, now: Timestamp) -> Option<(QueueKey, Waiting)> {
         let waiting: Vec<_> = self.waiting.iter().map(|(p, w)| (*p, *w)).collect();
         let may_start = |(key, waiting): &(QueueKey, Waiting)| {
-            self.has_slot(now, key.rank.0.called, waiting.over_share)
+            self.has_slot(now, key.rank.0.nested, waiting.over_share)
         };
         waiting.into_iter().find(may_start)
     }
@@ -626,7 +626,7 @@
                 continue;
             }
             self.waiting.remove(&key);
-            self.start(now, key.ticket, key.rank.0.called, waiting.over_share);
+            self.start(now, key.ticket, key.rank.0.nested, waiting.over_share);
             actions.push(Action::Start(key.ticket));
         }
         actions
--- a/crates/cherrystream-core/tests/room.rs
+++ b/crates/cherrystream-core/tests/concurrency_limit.rs
@@ -1,8 +1,8 @@
 //! The adaptive concurrency limit compared with fixed shares of the slots, for servers of several
 //! kinds.
 
-use cherrystream_core::admission::{self, Action, Admission, Arrival, Ticket, Verdict};
-use cherrystream_core::room::{Answer, Cause, Room, Work};
+use cherrystream_core::admission::{self, Action, Admission, Arrival, Decision, Ticket};
+use cherrystream_core::concurrency_limit::{Answer, Cause, ConcurrencyLimit, Work};
 use cherrystream_core::units::Timestamp;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -78,7 +78,7 @@
             ..admission::Options::default()
         });
         if adaptive {
-            admission.learn_room(Room::new(server.slots, share));
+            admission.set_concurrency_limit(ConcurrencyLimit::new(server.slots, share));
         }
         World {
             server,
@@ -98,7 +98,7 @@
         let is_slow_period = period.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 62 == 0;
         let factor = if is_slow_period { self.server.slow_factor } else { 1.0 };
         if self.server.reports_slowness && self.reported.insert(period) {
-            self.admission.on_pace(now, (factor * 100.0) as u32);
+            self.admission.on_slowness(now, (factor * 100.0) as u32);
         }
         let is_cold = now.since(Timestamp::default()) < self.server.cold;
         if is_cold { factor * 2.0 } else { factor }
@@ -124,30 +124,30 @@
     fn arrive(&mut self, now: Timestamp) {
         let useful_until = now + TARGET;
         let arrival = Arrival {
-            called: false,
+            nested: false,
             weight: 1,
             deadline: now + MAX_WAIT,
             selective: false,
             good_until: Some(useful_until),
-            usual: None,
+            typical_time: None,
         };
-        let (verdict, actions) = self.admission.arrive(now, arrival);
+        let (decision, actions) = self.admission.arrive(now, arrival);
         self.handle(now, actions);
-        match verdict {
-            Verdict::Run(ticket) => {
+        match decision {
+            Decision::Run(ticket) => {
                 self.useful_until.insert(ticket, useful_until);
                 self.start(now, ticket);
             }
-            Verdict::Wait(ticket) => {
+            Decision::Wait(ticket) => {
                 self.useful_until.insert(ticket, useful_until);
             }
-            Verdict::Refuse(_) => {}
+            Decision::Refuse(_) => {}
         }
     }
 
     fn end(&mut self, now: Timestamp, ticket: Ticket, took: Duration, slowness_before: u32) {
         let kind = self.kind.clone();
-        self.admission.on_worked(now, ticket, &Work { kind: &kind, took, slowness_before });
+        self.admission.on_service_time(now, ticket, &Work { kind: &kind, took, slowness_before });
         self.served += u32::from(now <= self.useful_until[&ticket]);
         let actions = self.admission.finish(now, ticket, true);
         self.handle(now, actions);
@@ -275,7 +275,7 @@
 }
 
 /// Records answers of one level with a service time in milliseconds.
-fn record(limit: &mut Room, now: u64, level: u32, took_ms: u64, answers: u32) {
+fn record(limit: &mut ConcurrencyLimit, now: u64, level: u32, took_ms: u64, answers: u32) {
     let kind: Arc<str> = "quotes".into();
     let took = Duration::from_millis(took_ms);
     for _ in 0..answers {
@@ -287,7 +287,7 @@
 
 #[test]
 fn the_limit_rises_after_enough_samples_and_falls_when_answers_are_slower() {
-    let mut limit = Room::new(10, 0.8);
+    let mut limit = ConcurrencyLimit::new(10, 0.8);
     assert_eq!(limit.limit(), 8);
     record(&mut limit, 1, 8, 100, 16);
     assert_eq!(limit.limit(), 10);
@@ -302,7 +302,7 @@
 
 #[test]
 fn higher_levels_are_tried_again_after_a_pause_when_the_limit_is_reached() {
-    let mut limit = Room::new(6, 0.8);
+    let mut limit = ConcurrencyLimit::new(6, 0.8);
     record(&mut limit, 1, 4, 100, 16);
     record(&mut limit, 2, 6, 200, 30);
     record(&mut limit, 3, 5, 200, 30);
@@ -318,7 +318,7 @@
 
 #[test]
 fn a_level_without_gain_is_skipped_for_a_higher_one_with_gain() {
-    let mut limit = Room::new(6, 0.8);
+    let mut limit = ConcurrencyLimit::new(6, 0.8);
     record(&mut limit, 1, 4, 100, 16);
     record(&mut limit, 2, 5, 145, 30);
     record(&mut limit, 2, 6, 145, 30);
@@ -327,7 +327,7 @@
 
 #[test]
 fn reported_slowness_does_not_lower_the_limit() {
-    let mut limit = Room::new(6, 0.8);
+    let mut limit = ConcurrencyLimit::new(6, 0.8);
     record(&mut limit, 1, 4, 100, 16);
     let kind: Arc<str> = "quotes".into();
     for (before, after) in [(300, 300), (100, 300)].repeat(20) {
@@ -340,7 +340,7 @@
 
 #[test]
 fn a_new_instance_keeps_the_limit_of_one_with_the_same_slots() {
-    let mut limit = Room::new(10, 0.8);
+    let mut limit = ConcurrencyLimit::new(10, 0.8);
     record(&mut limit, 1, 8, 100, 16);
     record(&mut limit, 2, 10, 200, 20);
     record(&mut limit, 2, 9, 200, 20);
@@ -355,7 +355,7 @@
 fn the_limit_stays_between_its_floor_and_the_slots() {
     arbtest::arbtest(|u| {
         let slots = u.int_in_range(1..=40)?;
-        let mut limit = Room::new(slots, 0.8);
+        let mut limit = ConcurrencyLimit::new(slots, 0.8);
         for i in 0..400 {
             let level = u.int_in_range(1..=slots)?;
             record(&mut limit, i * 100, level, u.int_in_range(0..=2_000)?, 1);
--- a/crates/cherrystream-daemon/src/inbound/exchange.rs
+++ b/crates/cherrystream-daemon/src/inbound/exchange.rs
@@ -7,7 +7,7 @@
 use crate::refusal::Refused;
 use crate::suspects::{AlonePlace, AtWork};
 use cherrystream_core::deadline::Deadline;
-use cherrystream_core::measuring::Check;
+use cherrystream_core::health::Check;
 use cherrystream_core::reasons::Reason;
 use cherrystream_net::body::{Body, Ending, Watched};
 use cherrystream_net::interface::{Execution, SendHead};
@@ -105,7 +105,7 @@
                 // The instance is gone, and whoever took its address has not reported yet. Each further send would be
                 // turned away as well, and count among the arrivals that a request may have.
                 at_work.proves_nothing();
-                door.on_check(Check::Said(ServerState::Down));
+                door.on_check(Check::Reported(ServerState::Down));
                 return Err(self.refuse(Reason::OtherInstance));
             }
             Execution::WrongRequest => {
--- a/crates/cherrystream-daemon/src/inbound/mod.rs
+++ b/crates/cherrystream-daemon/src/inbound/mod.rs
@@ -13,11 +13,11 @@
 use crate::suspects::{AlonePlace, SuspectWatch};
 use attempt::Attempt;
 use bytes::Bytes;
-use cherrystream_core::admission::{Arrival, Sharer};
+use cherrystream_core::admission::{Arrival, Flow};
 use cherrystream_core::attempts::{Attempts, Claimed, RequestKey};
-use cherrystream_core::call_times;
 use cherrystream_core::deadline::Deadline;
 use cherrystream_core::reasons::Reason;
+use cherrystream_core::request_times;
 use cherrystream_core::reservations::{Reservation, Reservations};
 use cherrystream_core::rollout;
 use cherrystream_core::shared;
@@ -299,32 +299,32 @@
         door: &Arc<Door>,
         call: &InboundCall,
     ) -> Result<Permit, Refused> {
-        let called = call.caller.as_ref().is_some_and(|c| door.is_called(&call.kind, c));
+        let nested = call.caller.as_ref().is_some_and(|c| door.is_called(&call.kind, c));
         let now = self.clock.now();
         // The request that waits for the call is wasted without it, so the call is not given up
         // before its deadline.
-        let deadline = match called {
+        let deadline = match nested {
             true => call.deadline.at(),
-            false => call_times::waits_until(now, call.deadline.at(), call.wait_at_most),
+            false => request_times::wait_deadline(now, call.deadline.at(), call.wait_at_most),
         };
         let arrival = Arrival {
-            called,
+            nested,
             weight: call.weight,
             deadline,
             selective: call.selective,
             good_until: call.good_for.map(|time| now + time),
-            usual: None,
+            typical_time: None,
         };
         self.hear_pace(door, &arrival, &call.kind).await;
-        let sharer = self.sharer(call);
+        let flow = self.flow(call);
         // Requests that are given up at the end free their slots, which nobody may take any more.
         let entered = tokio::select! {
             biased;
             () = self.phases.reached(Phase::Ending) => return Err(self.refuse(Reason::HostLeaving)),
-            entered = door.enter(arrival, &call.kind, sharer.as_ref()) => entered,
+            entered = door.enter(arrival, &call.kind, flow.as_ref()) => entered,
         };
         let permit = entered.map_err(|refusal| {
-            if refusal.makes_way() {
+            if refusal.yields_slot() {
                 let label = ServerLabel { server: door.id.name.to_string() };
                 self.metrics.made_way.get_or_create(&label).inc();
             }
@@ -340,11 +340,11 @@
 
     /// Returns the workspace for which a request shares a door with others, where there are workspaces. Its share is the
     /// rate that it may send. Requests of keyless routes count as one workspace.
-    fn sharer(&self, call: &InboundCall) -> Option<Sharer> {
+    fn flow(&self, call: &InboundCall) -> Option<Flow> {
         let routes = self.held.get().routes.filter(|routes| !routes.workspaces.is_empty())?;
         let workspace = call.workspace.clone().unwrap_or_default();
         let rate = routes.workspaces.get(&*workspace).map(|known| known.rate_milli_per_s);
         let share = rate.filter(|rate| *rate > 0).map(|rate| rate as f64);
-        Some(Sharer { workspace, share })
+        Some(Flow { workspace, share })
     }
 }
