--- a/crates/cherrystream-core/src/suspects/ends.rs
+++ b/crates/cherrystream-core/src/suspects/crashes.rs
@@ -7,7 +7,7 @@
 //! instance of the server reports.
 
 use super::identity::Identity;
-use super::record::EndId;
+use super::record::CrashId;
 use crate::units::Timestamp;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 
 /// A request that was sent to a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sent {
+pub struct SentRequest {
     /// Identity of the request.
     pub identity: Identity,
     /// Whether it runs in isolation: no other suspect request runs at that server.
@@ -37,18 +37,18 @@
 
 /// A confirmed crash and the requests that were in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct Crash {
     /// Identifier of the crash.
-    pub id: EndId,
+    pub id: CrashId,
     /// Requests that were in flight.
-    pub at_work: Vec<Sent>,
+    pub in_flight: Vec<SentRequest>,
 }
 
 struct LostRequest {
     sent_at: Timestamp,
     lost_at: Timestamp,
     expires_at: Timestamp,
-    sent: Sent,
+    sent: SentRequest,
 }
 
 impl LostRequest {
@@ -61,12 +61,12 @@
 
 /// Crash detection state of one backend server.
 #[derive(Default)]
-pub struct Ends {
+pub struct CrashDetector {
     unexplained: Vec<LostRequest>,
     /// The last confirmed crash, until a response shows that the server is back.
-    last_crash: Option<(Timestamp, EndId)>,
+    last_crash: Option<(Timestamp, CrashId)>,
     /// Time at which each request in flight was sent.
-    at_work: BTreeMap<Ticket, Timestamp>,
+    in_flight: BTreeMap<Ticket, Timestamp>,
     next: Ticket,
     alone: bool,
     probing: bool,
@@ -75,33 +75,33 @@
 /// Identifies a request in flight at a backend server.
 pub type Ticket = u64;
 
-impl Ends {
+impl CrashDetector {
     /// Records that a request is sent.
     pub fn begin(&mut self, now: Timestamp) -> Ticket {
         self.next += 1;
-        self.at_work.insert(self.next, now);
+        self.in_flight.insert(self.next, now);
         self.next
     }
 
     /// Records that a request is no longer in flight, whatever its outcome.
-    pub fn leave(&mut self, ticket: Ticket) {
-        self.at_work.remove(&ticket);
+    pub fn finish(&mut self, ticket: Ticket) {
+        self.in_flight.remove(&ticket);
     }
 
     /// Returns whether a request sent before connections broke is still in flight, which shows that
     /// the server is alive.
     pub fn has_survivor(&self) -> bool {
         let broke = self.unexplained.iter().map(|lost| lost.lost_at).min();
-        broke.is_some_and(|broke| self.at_work.values().any(|sent_at| *sent_at < broke))
+        broke.is_some_and(|broke| self.in_flight.values().any(|sent_at| *sent_at < broke))
     }
 
     /// Starts a probe for a crash; returns whether one is needed and none is running.
-    pub fn begin_look(&mut self, now: Timestamp) -> bool {
-        self.wants_proof(now) && !std::mem::replace(&mut self.probing, true)
+    pub fn begin_probe(&mut self, now: Timestamp) -> bool {
+        self.has_unexplained(now) && !std::mem::replace(&mut self.probing, true)
     }
 
     /// Records that the probe has ended.
-    pub fn end_look(&mut self) {
+    pub fn end_probe(&mut self) {
         self.probing = false;
     }
 
@@ -117,18 +117,28 @@
 
     /// Records that the connection of a request sent at `sent_at` broke. Returns the crash that
     /// explains it, if one is already confirmed.
-    pub fn on_broke(&mut self, now: Timestamp, sent_at: Timestamp, sent: Sent) -> Option<Ended> {
+    pub fn on_connection_broken(
+        &mut self,
+        now: Timestamp,
+        sent_at: Timestamp,
+        sent: SentRequest,
+    ) -> Option<Crash> {
         let lost = LostRequest { sent_at, lost_at: now, expires_at: now + CRASH_WINDOW, sent };
         let confirmed = self.last_crash.filter(|(at, _)| now.since(*at) < SAME_CRASH_WINDOW);
         if let Some((_, id)) = confirmed.filter(|(at, _)| !lost.proves_alive_after(*at)) {
-            return Some(Ended { id, at_work: vec![sent] });
+            return Some(Crash { id, in_flight: vec![sent] });
         }
         self.record_lost(lost);
         None
     }
 
     /// Records that the caller of a request sent at `sent_at` disconnected while it was in flight.
-    pub fn on_left(&mut self, now: Timestamp, sent_at: Timestamp, sent: Sent) {
+    pub fn on_caller_disconnected(
+        &mut self,
+        now: Timestamp,
+        sent_at: Timestamp,
+        sent: SentRequest,
+    ) {
         self.record_lost(LostRequest {
             sent_at,
             lost_at: now,
@@ -139,7 +149,7 @@
 
     /// Records a confirmed crash; `id` is used unless it is one already recorded. Returns the crash
     /// with the requests that it explains.
-    pub fn on_ended(&mut self, now: Timestamp, id: EndId) -> Option<Ended> {
+    pub fn on_crash(&mut self, now: Timestamp, id: CrashId) -> Option<Crash> {
         // A server that restarts and crashes before its first response has crashed twice.
         let was_alive_after =
             |at: &Timestamp| self.unexplained.iter().any(|lost| lost.proves_alive_after(*at));
@@ -148,12 +158,13 @@
         let (at, id) = known.unwrap_or((now, id));
         self.last_crash = Some((at, id));
         self.expire(now);
-        let at_work: Vec<Sent> = self.unexplained.drain(..).map(|lost| lost.sent).collect();
-        (!at_work.is_empty()).then_some(Ended { id, at_work })
+        let in_flight: Vec<SentRequest> =
+            self.unexplained.drain(..).map(|lost| lost.sent).collect();
+        (!in_flight.is_empty()).then_some(Crash { id, in_flight })
     }
 
     /// Records a planned stop, which is no evidence against any request.
-    pub fn on_planned_end(&mut self) {
+    pub fn on_planned_stop(&mut self) {
         self.unexplained.clear();
     }
 
@@ -166,7 +177,7 @@
     }
 
     /// Returns whether there are broken connections that no crash explains yet.
-    pub fn wants_proof(&mut self, now: Timestamp) -> bool {
+    pub fn has_unexplained(&mut self, now: Timestamp) -> bool {
         self.expire(now);
         !self.unexplained.is_empty()
     }
--- a/crates/cherrystream-core/src/suspects/mod.rs
+++ b/crates/cherrystream-core/src/suspects/mod.rs
@@ -3,19 +3,19 @@
 //! A caller may send such a request again and again through any daemon. Each broken connection
 //! looks like a failed attempt, and retries could crash all backend servers of a service.
 //!
-//! [`ends`] detects a crash of one backend server and the requests in flight; [`table`] merges the
-//! crashes reported by all daemons and decides how a request is treated; [`record`] defines the
+//! [`crashes`] detects a crash of one backend server and the requests in flight; [`table`] merges
+//! the crashes reported by all daemons and decides how a request is treated; [`record`] defines the
 //! messages between daemons, and [`ring`] selects the peers that receive them.
 
-pub mod ends;
+pub mod crashes;
 pub mod identity;
 pub mod record;
 pub mod ring;
 pub mod table;
 
-pub use ends::{Ended, Ends, Sent};
+pub use crashes::{Crash, CrashDetector, SentRequest};
 pub use identity::{CallerMark, Fingerprint, FingerprintKey, Identity};
-pub use record::{EndId, Message, Reach, Record, SeenEnd, Standing};
+pub use record::{CrashId, CrashRecord, Message, Reach, Record, Standing};
 pub use table::{Suspects, Verdict};
 
 use siphasher::sip::SipHasher13;
--- a/crates/cherrystream-core/src/suspects/record.rs
+++ b/crates/cherrystream-core/src/suspects/record.rs
@@ -5,13 +5,13 @@
 
 /// Random identifier of a crash of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct EndId(pub u64);
+pub struct CrashId(pub u64);
 
 /// A crash of a backend server while a request was in flight there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SeenEnd {
+pub struct CrashRecord {
     /// Identifier of the crash.
-    pub id: EndId,
+    pub id: CrashId,
     /// Milliseconds between the crash and the writing of this record. Ages are sent, since the
     /// clocks of hosts differ.
     pub age_ms: u64,
@@ -33,7 +33,7 @@
     /// Milliseconds between the last change and the writing of this record.
     pub age_ms: u64,
     /// Crashes since the request was last cleared.
-    pub ends: Vec<SeenEnd>,
+    pub ends: Vec<CrashRecord>,
 }
 
 /// The daemons to which a change is sent.
--- a/crates/cherrystream-core/src/suspects/table.rs
+++ b/crates/cherrystream-core/src/suspects/table.rs
@@ -1,8 +1,8 @@
 //! Merges the crashes reported by all daemons and decides how a request is treated.
 
 use super::identity::{CallerMark, Fingerprint, Identity};
-use super::record::{EndId, Reach, Record, SeenEnd, Standing};
-use super::{Ended, Sent};
+use super::record::{CrashId, CrashRecord, Reach, Record, Standing};
+use super::{Crash, SentRequest};
 use crate::units::Timestamp;
 use cherrystream_schema::messages::Suspect;
 use siphasher::sip::SipHasher13;
@@ -48,9 +48,9 @@
 type Micros = i64;
 
 #[derive(Clone, Copy, Debug)]
-struct Crash {
+struct CrashEntry {
     at: Micros,
-    id: EndId,
+    id: CrashId,
     alone: bool,
 }
 
@@ -61,7 +61,7 @@
     wide: bool,
     changed: Micros,
     /// Sorted by identifier.
-    ends: Vec<Crash>,
+    crashes: Vec<CrashEntry>,
 }
 
 /// The suspect requests that a daemon has recorded.
@@ -89,17 +89,23 @@
     }
 
     /// Records a crash confirmed by this daemon; returns the records to send to other daemons.
-    pub fn on_end(&mut self, now: Timestamp, ended: &Ended) -> Vec<(Reach, Record)> {
+    pub fn on_end(&mut self, now: Timestamp, crash: &Crash) -> Vec<(Reach, Record)> {
         let now = micros(now);
-        let suspects = ended.at_work.iter().filter_map(|sent| self.add_crash(now, ended.id, sent));
+        let suspects =
+            crash.in_flight.iter().filter_map(|sent| self.add_crash(now, crash.id, sent));
         suspects.collect()
     }
 
-    fn add_crash(&mut self, now: Micros, id: EndId, sent: &Sent) -> Option<(Reach, Record)> {
+    fn add_crash(
+        &mut self,
+        now: Micros,
+        id: CrashId,
+        sent: &SentRequest,
+    ) -> Option<(Reach, Record)> {
         let Identity { request, caller } = sent.identity;
         self.evict(now, request, caller);
         let entry = self.entries.entry(request).or_insert_with(|| Entry::new(caller, now));
-        if !entry.add(Crash { at: now, id, alone: sent.alone }) {
+        if !entry.add(CrashEntry { at: now, id, alone: sent.alone }) {
             return None;
         }
         entry.changed = now;
@@ -110,7 +116,7 @@
     /// backend server. Returns the record to send to other daemons.
     pub fn on_answer(&mut self, now: Timestamp, request: Fingerprint) -> Option<(Reach, Record)> {
         let now = micros(now);
-        let entry = self.entries.get_mut(&request).filter(|entry| !entry.ends.is_empty())?;
+        let entry = self.entries.get_mut(&request).filter(|entry| !entry.crashes.is_empty())?;
         entry.clear(now);
         Some(entry.news(now, request))
     }
@@ -162,7 +168,7 @@
 
     /// Returns the requests with recorded crashes for operators, the worst status first.
     pub fn list(&self, now: Timestamp) -> Vec<Suspect> {
-        let known = self.entries.iter().filter(|(_, entry)| !entry.ends.is_empty());
+        let known = self.entries.iter().filter(|(_, entry)| !entry.crashes.is_empty());
         let mut known: Vec<_> = known.collect();
         known.sort_by_key(|(request, entry)| (std::cmp::Reverse(entry.standing()), **request));
         known.iter().map(|(request, entry)| entry.to_suspect(micros(now), **request)).collect()
@@ -209,7 +215,7 @@
 
 impl Entry {
     fn new(caller: CallerMark, now: Micros) -> Entry {
-        Entry { caller, generation: 0, wide: false, changed: now, ends: Vec::new() }
+        Entry { caller, generation: 0, wide: false, changed: now, crashes: Vec::new() }
     }
 
     /// Converts a record of another daemon.
@@ -219,17 +225,21 @@
             generation: record.generation,
             wide: record.wide,
             changed: at_age(now, record.age_ms),
-            ends: Vec::new(),
+            crashes: Vec::new(),
         };
-        for end in &record.ends {
-            entry.add(Crash { at: at_age(now, end.age_ms), id: end.id, alone: end.alone });
+        for crash in &record.ends {
+            entry.add(CrashEntry {
+                at: at_age(now, crash.age_ms),
+                id: crash.id,
+                alone: crash.alone,
+            });
         }
         entry
     }
 
     fn standing(&self) -> Standing {
-        let alone = self.ends.iter().any(|end| end.alone);
-        match self.ends.len() {
+        let alone = self.crashes.iter().any(|crash| crash.alone);
+        match self.crashes.len() {
             0 => Standing::Clear,
             1 => Standing::Watched,
             ends if ends >= QUARANTINE_FROM_CRASHES && alone => Standing::HeldBack,
@@ -238,17 +248,17 @@
         }
     }
 
-    fn last_end(&self) -> Micros {
-        self.ends.iter().map(|end| end.at).max().unwrap_or(self.changed)
+    fn last_crash(&self) -> Micros {
+        self.crashes.iter().map(|crash| crash.at).max().unwrap_or(self.changed)
     }
 
     /// Returns the time until the next trial. Each crash in isolation after the first was a failed
     /// trial.
     fn until_trial(&self, now: Micros) -> Duration {
-        let failed = self.ends.iter().filter(|end| end.alone).count().saturating_sub(1);
+        let failed = self.crashes.iter().filter(|crash| crash.alone).count().saturating_sub(1);
         let factor = 1_u32.checked_shl(failed as u32).unwrap_or(u32::MAX);
         let wait = FIRST_TRIAL_AFTER.saturating_mul(factor).min(MAX_TRIAL_INTERVAL);
-        wait.saturating_sub(elapsed(self.last_end(), now))
+        wait.saturating_sub(elapsed(self.last_crash(), now))
     }
 
     fn is_expired(&self, now: Micros) -> bool {
@@ -256,32 +266,32 @@
             Standing::HeldBack => QUARANTINE_TTL,
             _ => SUSPECT_TTL,
         };
-        elapsed(self.last_end().max(self.changed), now) >= lasts
+        elapsed(self.last_crash().max(self.changed), now) >= lasts
     }
 
     /// Adds a crash; returns whether it is new. A known crash keeps the time at which it was first
     /// recorded, which would otherwise shift with the delay of each message.
-    fn add(&mut self, end: Crash) -> bool {
-        let Err(place) = self.ends.binary_search_by_key(&end.id, |known| known.id) else {
+    fn add(&mut self, crash: CrashEntry) -> bool {
+        let Err(place) = self.crashes.binary_search_by_key(&crash.id, |known| known.id) else {
             return false;
         };
-        if self.ends.len() >= MAX_CRASHES {
-            let oldest = self.ends.iter().map(|known| known.at).min();
-            if oldest.is_some_and(|oldest| end.at <= oldest) {
+        if self.crashes.len() >= MAX_CRASHES {
+            let oldest = self.crashes.iter().map(|known| known.at).min();
+            if oldest.is_some_and(|oldest| crash.at <= oldest) {
                 return false;
             }
-            let at = self.ends.iter().position(|known| Some(known.at) == oldest);
-            at.map(|at| self.ends.remove(at));
-            return self.add(end);
+            let at = self.crashes.iter().position(|known| Some(known.at) == oldest);
+            at.map(|at| self.crashes.remove(at));
+            return self.add(crash);
         }
-        self.ends.insert(place, end);
-        self.wide |= self.ends.len() >= ISOLATE_FROM_CRASHES;
+        self.crashes.insert(place, crash);
+        self.wide |= self.crashes.len() >= ISOLATE_FROM_CRASHES;
         true
     }
 
     fn clear(&mut self, now: Micros) {
         self.generation = self.generation.saturating_add(1);
-        self.ends.clear();
+        self.crashes.clear();
         self.changed = now;
     }
 
@@ -298,8 +308,8 @@
             *self = Entry { wide, ..other };
             return true;
         }
-        for end in other.ends {
-            news |= self.add(end);
+        for crash in other.crashes {
+            news |= self.add(crash);
         }
         if news {
             self.changed = self.changed.max(other.changed);
@@ -313,10 +323,10 @@
     }
 
     fn record(&self, now: Micros, request: Fingerprint) -> Record {
-        let ends = self.ends.iter().map(|end| SeenEnd {
-            id: end.id,
-            age_ms: millis(elapsed(end.at, now)),
-            alone: end.alone,
+        let ends = self.crashes.iter().map(|crash| CrashRecord {
+            id: crash.id,
+            age_ms: millis(elapsed(crash.at, now)),
+            alone: crash.alone,
         });
         Record {
             request,
@@ -332,8 +342,8 @@
         let mut hasher = SipHasher13::new();
         hasher.write(&request.0.to_le_bytes());
         hasher.write(&self.generation.to_le_bytes());
-        for end in &self.ends {
-            hasher.write(&end.id.0.to_le_bytes());
+        for crash in &self.crashes {
+            hasher.write(&crash.id.0.to_le_bytes());
         }
         hasher.finish()
     }
@@ -345,16 +355,16 @@
             mark: request.to_string(),
             caller: format!("{:016x}", self.caller.0),
             standing: standing.as_str().into(),
-            ends: self.ends.len() as u64,
-            ends_alone: self.ends.iter().filter(|end| end.alone).count() as u64,
-            last_end_s: elapsed(self.last_end(), now).as_secs(),
+            ends: self.crashes.len() as u64,
+            ends_alone: self.crashes.iter().filter(|crash| crash.alone).count() as u64,
+            last_end_s: elapsed(self.last_crash(), now).as_secs(),
             next_trial_s: (standing == Standing::HeldBack).then(trial),
         }
     }
 
     /// Returns the importance of the entry; the entry with the lowest is evicted first.
     fn rank(&self) -> (Standing, usize, Micros) {
-        (self.standing(), self.ends.len(), self.changed)
+        (self.standing(), self.crashes.len(), self.changed)
     }
 }
 
--- a/crates/cherrystream-core/tests/suspects/main.rs
+++ b/crates/cherrystream-core/tests/suspects/main.rs
@@ -6,7 +6,7 @@
 mod world;
 
 use cherrystream_core::suspects::{
-    CallerMark, EndId, Ended, Fingerprint, Identity, Record, Sent, Suspects,
+    CallerMark, Crash, CrashId, Fingerprint, Identity, Record, SentRequest, Suspects,
 };
 use cherrystream_core::units::Timestamp;
 
@@ -18,12 +18,12 @@
     Identity { request: Fingerprint(request), caller: CallerMark(caller) }
 }
 
-fn sent(request: u64, alone: bool) -> Sent {
-    Sent { identity: identity(request, 1), alone }
+fn sent(request: u64, alone: bool) -> SentRequest {
+    SentRequest { identity: identity(request, 1), alone }
 }
 
-fn ended(id: u64, at_work: &[Sent]) -> Ended {
-    Ended { id: EndId(id), at_work: at_work.to_vec() }
+fn crash(id: u64, in_flight: &[SentRequest]) -> Crash {
+    Crash { id: CrashId(id), in_flight: in_flight.to_vec() }
 }
 
 /// Merges the records of another daemon.
--- a/crates/cherrystream-core/tests/suspects/table.rs
+++ b/crates/cherrystream-core/tests/suspects/table.rs
@@ -1,8 +1,8 @@
 //! Treatment of requests after crashes, responses and records of other daemons.
 
-use super::{ended, identity, merge, ms, sent};
+use super::{crash, identity, merge, ms, sent};
 use cherrystream_core::suspects::table::MAX_ENTRIES;
-use cherrystream_core::suspects::{Fingerprint, Reach, Record, Sent, Suspects, Verdict};
+use cherrystream_core::suspects::{Fingerprint, Reach, Record, SentRequest, Suspects, Verdict};
 use std::time::Duration;
 
 const POISON: Fingerprint = Fingerprint(1);
@@ -11,11 +11,11 @@
 /// A request that crashes a server, its retry on another server, and the same request in isolation.
 fn quarantined() -> Suspects {
     let mut table = Suspects::default();
-    table.on_end(ms(100), &ended(1, &[sent(1, false)]));
+    table.on_end(ms(100), &crash(1, &[sent(1, false)]));
     assert_eq!(table.judge(ms(101), POISON), Verdict::Watched);
-    table.on_end(ms(200), &ended(2, &[sent(1, false)]));
+    table.on_end(ms(200), &crash(2, &[sent(1, false)]));
     assert_eq!(table.judge(ms(201), POISON), Verdict::Alone);
-    table.on_end(ms(300), &ended(3, &[sent(1, true)]));
+    table.on_end(ms(300), &crash(3, &[sent(1, true)]));
     table
 }
 
@@ -29,7 +29,7 @@
 #[test]
 fn a_crash_counts_once_for_duplicates_of_a_request() {
     let mut table = Suspects::default();
-    table.on_end(ms(100), &ended(1, &[sent(1, false), sent(1, false), sent(1, false)]));
+    table.on_end(ms(100), &crash(1, &[sent(1, false), sent(1, false), sent(1, false)]));
     assert_eq!(table.judge(ms(101), POISON), Verdict::Watched);
 }
 
@@ -38,7 +38,7 @@
 fn a_mass_kill_quarantines_no_request() {
     let mut table = Suspects::default();
     for end in 1..=20 {
-        table.on_end(ms(100), &ended(end, &[sent(1, false)]));
+        table.on_end(ms(100), &crash(end, &[sent(1, false)]));
     }
     assert_eq!(table.judge(ms(101), POISON), Verdict::Alone);
     table.on_answer(ms(150), POISON);
@@ -50,7 +50,7 @@
 fn a_response_between_two_crashes_clears_a_request() {
     let mut table = Suspects::default();
     for end in 1..=50 {
-        table.on_end(ms(end * 100), &ended(end, &[sent(1, false)]));
+        table.on_end(ms(end * 100), &crash(end, &[sent(1, false)]));
         assert_eq!(table.judge(ms(end * 100), POISON), Verdict::Watched);
         table.on_answer(ms(end * 100 + 50), POISON);
     }
@@ -67,7 +67,7 @@
         if table.judge(ms(at), POISON) == Verdict::Alone {
             trials += 1;
             in_first_minutes += u32::from(at < 200 * SECOND);
-            table.on_end(ms(at), &ended(100 + trials, &[sent(1, true)]));
+            table.on_end(ms(at), &crash(100 + trials, &[sent(1, true)]));
             assert_ne!(table.judge(ms(at), POISON), Verdict::Alone);
         }
     }
@@ -103,11 +103,11 @@
 #[test]
 fn a_first_crash_is_announced_only_to_daemons_of_the_service() {
     let mut table = Suspects::default();
-    let news = table.on_end(ms(100), &ended(1, &[sent(1, false)]));
+    let news = table.on_end(ms(100), &crash(1, &[sent(1, false)]));
     assert_eq!(news[0].0, Reach::Service);
-    let news = table.on_end(ms(200), &ended(2, &[sent(1, false)]));
+    let news = table.on_end(ms(200), &crash(2, &[sent(1, false)]));
     assert_eq!(news[0].0, Reach::All);
-    assert!(table.on_end(ms(201), &ended(2, &[sent(1, false)])).is_empty());
+    assert!(table.on_end(ms(201), &crash(2, &[sent(1, false)])).is_empty());
 }
 
 /// A daemon that has just started receives a record of crashes before its start.
@@ -145,7 +145,7 @@
 #[test]
 fn expired_entries_are_removed() {
     let mut table = quarantined();
-    table.on_end(ms(300), &ended(4, &[sent(2, false)]));
+    table.on_end(ms(300), &crash(4, &[sent(2, false)]));
     table.tick(ms(3_600 * SECOND));
     assert_eq!(table.len(), 2);
     table.tick(ms(3_601 * SECOND));
@@ -163,11 +163,11 @@
 #[test]
 fn a_caller_with_many_suspects_evicts_only_its_own() {
     let mut table = quarantined();
-    let generated = (10_u64..).map(|n| Sent { identity: identity(n, 66), alone: false });
-    let generated: Vec<Sent> = generated.take(3 * MAX_ENTRIES).collect();
-    for (end, at_work) in generated.chunks(12).enumerate() {
-        table.on_end(ms(400), &ended(1_000 + end as u64, at_work));
-        table.on_end(ms(400), &ended(9_000 + end as u64, at_work));
+    let generated = (10_u64..).map(|n| SentRequest { identity: identity(n, 66), alone: false });
+    let generated: Vec<SentRequest> = generated.take(3 * MAX_ENTRIES).collect();
+    for (end, in_flight) in generated.chunks(12).enumerate() {
+        table.on_end(ms(400), &crash(1_000 + end as u64, in_flight));
+        table.on_end(ms(400), &crash(9_000 + end as u64, in_flight));
         assert!(table.len() <= MAX_ENTRIES);
     }
     assert!(matches!(table.judge(ms(500), POISON), Verdict::HeldBack(_)));
--- a/crates/cherrystream-core/tests/suspects/world.rs
+++ b/crates/cherrystream-core/tests/suspects/world.rs
@@ -4,7 +4,8 @@
 use super::{identity, merge, ms};
 use arbtest::arbitrary::{Result, Unstructured};
 use cherrystream_core::suspects::{
-    self, EndId, Ends, Fingerprint, Message, Reach, Record, Sent, Suspects, Verdict,
+    self, CrashDetector, CrashId, Fingerprint, Message, Reach, Record, SentRequest, Suspects,
+    Verdict,
 };
 
 const HOSTS: usize = 6;
@@ -15,7 +16,7 @@
 
 struct Host {
     table: Suspects,
-    ends: Ends,
+    detector: CrashDetector,
     /// Time at which its backend server is up again.
     down_until: u64,
     /// Time at which the host resumes.
@@ -38,7 +39,7 @@
     fn new() -> World {
         let host = |_| Host {
             table: Suspects::default(),
-            ends: Ends::default(),
+            detector: CrashDetector::default(),
             down_until: 0,
             frozen_until: 0,
             is_partitioned: false,
@@ -136,27 +137,33 @@
         self.now += 30;
         if request != POISON && !by_coincidence {
             let host = &mut self.hosts[at];
-            host.ends.on_answer(ms(self.now - 30));
+            host.detector.on_answer(ms(self.now - 30));
             let news = host.table.on_answer(ms(self.now), Fingerprint(request));
             self.announce(u, at, news.into_iter().collect())?;
             return Ok(false);
         }
         self.has_coincidence |= request != POISON && alone;
-        let sent = Sent { identity: identity(request, request), alone };
+        let sent = SentRequest { identity: identity(request, request), alone };
         self.end(u, at, Some(sent))?;
         Ok(true)
     }
 
-    fn end(&mut self, u: &mut Unstructured<'_>, at: usize, sent: Option<Sent>) -> Result<()> {
-        let (now, id) = (ms(self.now), EndId(self.next_crash));
+    fn end(
+        &mut self,
+        u: &mut Unstructured<'_>,
+        at: usize,
+        sent: Option<SentRequest>,
+    ) -> Result<()> {
+        let (now, id) = (ms(self.now), CrashId(self.next_crash));
         self.next_crash += 1;
         let host = &mut self.hosts[at];
         host.down_until = self.now + 2_000;
-        let known = sent.and_then(|sent| host.ends.on_broke(now, ms(self.now - 30), sent));
-        let ended = known.or_else(|| host.ends.on_ended(now, id));
+        let known =
+            sent.and_then(|sent| host.detector.on_connection_broken(now, ms(self.now - 30), sent));
+        let crash = known.or_else(|| host.detector.on_crash(now, id));
         // The restarted server is another instance.
-        host.ends = Ends::default();
-        let news = ended.map(|ended| host.table.on_end(now, &ended)).unwrap_or_default();
+        host.detector = CrashDetector::default();
+        let news = crash.map(|crash| host.table.on_end(now, &crash)).unwrap_or_default();
         self.announce(u, at, news)
     }
 
--- a/crates/cherrystream-daemon/src/door.rs
+++ b/crates/cherrystream-daemon/src/door.rs
@@ -14,7 +14,7 @@
 use cherrystream_core::pace;
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::room::{self, Room};
-use cherrystream_core::suspects::Ends;
+use cherrystream_core::suspects::CrashDetector;
 use cherrystream_core::units::Timestamp;
 use cherrystream_core::usual_times::UsualTimes;
 use cherrystream_net::clock::Clock;
@@ -59,7 +59,7 @@
     pub budget: Mutex<MeasuringBudget>,
     clock: Clock,
     /// Whether its backend server has ended, and under which requests. Taken with no other lock.
-    ends: Mutex<Ends>,
+    ends: Mutex<CrashDetector>,
     inner: Mutex<Inner>,
 }
 
@@ -134,7 +134,7 @@
     }
 
     /// Returns what is known of ends of the backend server. It is held for one step at a time.
-    pub fn ends(&self) -> MutexGuard<'_, Ends> {
+    pub fn ends(&self) -> MutexGuard<'_, CrashDetector> {
         self.ends.lock()
     }
 
--- a/crates/cherrystream-daemon/src/suspects/at_work.rs
+++ b/crates/cherrystream-daemon/src/suspects/at_work.rs
@@ -2,8 +2,8 @@
 
 use super::SuspectWatch;
 use crate::door::Door;
-use cherrystream_core::suspects::ends::Ticket;
-use cherrystream_core::suspects::{EndId, Identity, Sent};
+use cherrystream_core::suspects::crashes::Ticket;
+use cherrystream_core::suspects::{CrashId, Identity, SentRequest};
 use cherrystream_core::units::Timestamp;
 use cherrystream_net::pool::Probe;
 use std::sync::Arc;
@@ -39,7 +39,7 @@
 pub struct AtWork {
     watch: Arc<SuspectWatch>,
     door: Arc<Door>,
-    sent: Sent,
+    sent: SentRequest,
     sent_at: Timestamp,
     ticket: Ticket,
     is_settled: bool,
@@ -58,7 +58,7 @@
         AtWork {
             watch: watch.clone(),
             door: door.clone(),
-            sent: Sent { identity, alone: place.is_some() },
+            sent: SentRequest { identity, alone: place.is_some() },
             sent_at,
             ticket: door.ends().begin(sent_at),
             is_settled: false,
@@ -91,8 +91,8 @@
     pub fn broke(mut self) {
         self.is_settled = true;
         let now = self.watch.tools.clock.now();
-        self.door.ends().leave(self.ticket);
-        let ended = self.door.ends().on_broke(now, self.sent_at, self.sent);
+        self.door.ends().finish(self.ticket);
+        let ended = self.door.ends().on_connection_broken(now, self.sent_at, self.sent);
         match ended {
             Some(ended) if !self.watch.is_planned(&self.door) => {
                 self.watch.on_end(&self.door, &ended);
@@ -105,10 +105,10 @@
 
 impl Drop for AtWork {
     fn drop(&mut self) {
-        self.door.ends().leave(self.ticket);
+        self.door.ends().finish(self.ticket);
         if !self.is_settled {
             let now = self.watch.tools.clock.now();
-            self.door.ends().on_left(now, self.sent_at, self.sent);
+            self.door.ends().on_caller_disconnected(now, self.sent_at, self.sent);
         }
     }
 }
@@ -116,13 +116,13 @@
 impl SuspectWatch {
     /// Looks for the proof that a door's backend server has ended, if connections have broken there and nobody looks yet.
     pub fn look(self: &Arc<Self>, door: &Arc<Door>) {
-        if door.ends().begin_look(self.tools.clock.now()) {
+        if door.ends().begin_probe(self.tools.clock.now()) {
             let (watch, door) = (self.clone(), door.clone());
             tokio::spawn(async move {
                 if watch.finds_proof(&door).await {
                     watch.on_proof(&door);
                 }
-                door.ends().end_look();
+                door.ends().end_probe();
             });
         }
     }
@@ -131,7 +131,7 @@
         let mut is_kept = false;
         for wait in LOOKS {
             tokio::time::sleep(wait).await;
-            if !door.ends().wants_proof(self.tools.clock.now()) {
+            if !door.ends().has_unexplained(self.tools.clock.now()) {
                 return false;
             }
             let fate = door.backend.probe().await;
@@ -144,7 +144,7 @@
         if !is_kept && !door.ends().has_survivor() {
             return true;
         }
-        while door.ends().wants_proof(self.tools.clock.now()) {
+        while door.ends().has_unexplained(self.tools.clock.now()) {
             if self.is_followed(door) {
                 return true;
             }
@@ -163,10 +163,10 @@
     fn on_proof(self: &Arc<Self>, door: &Arc<Door>) {
         let now = self.tools.clock.now();
         if self.is_planned(door) {
-            door.ends().on_planned_end();
+            door.ends().on_planned_stop();
             return;
         }
-        let ended = door.ends().on_ended(now, EndId(rand::random()));
+        let ended = door.ends().on_crash(now, CrashId(rand::random()));
         if let Some(ended) = ended {
             self.on_end(door, &ended);
         }
--- a/crates/cherrystream-daemon/src/suspects/mod.rs
+++ b/crates/cherrystream-daemon/src/suspects/mod.rs
@@ -15,7 +15,7 @@
 use crate::metrics::{Metrics, SuspectLabel};
 use crate::peer::Peers;
 use cherrystream_core::log_budget::LogBudget;
-use cherrystream_core::suspects::{Ended, Fingerprint, Reach, Record, Standing, Suspects, Verdict};
+use cherrystream_core::suspects::{Crash, Fingerprint, Reach, Record, Standing, Suspects, Verdict};
 use cherrystream_core::units::Timestamp;
 use cherrystream_net::clock::Clock;
 use cherrystream_net::key::Secret;
@@ -94,7 +94,7 @@
     }
 
     /// Takes a proved end of a door's backend server.
-    fn on_end(self: &Arc<Self>, door: &Door, ended: &Ended) {
+    fn on_end(self: &Arc<Self>, door: &Door, ended: &Crash) {
         self.tools.metrics.ends_at_work.inc();
         let now = self.tools.clock.now();
         let news = self.table.lock().on_end(now, ended);
@@ -104,7 +104,7 @@
         self.clone().tell(Some(door.id.service.clone()), news);
     }
 
-    fn log_end(&self, now: Timestamp, door: &Door, ended: &Ended, record: &Record) {
+    fn log_end(&self, now: Timestamp, door: &Door, ended: &Crash, record: &Record) {
         let Some(dropped) = self.log.lock().take(now, true) else { return };
         let Record { request, caller, ends, .. } = record;
         let standing = self.standing(now, *request);
@@ -114,7 +114,7 @@
             caller.0,
             door.id.name,
             ended.id.0,
-            ended.at_work.len(),
+            ended.in_flight.len(),
             ends.len(),
             ends.iter().filter(|end| end.alone).count(),
             standing.as_str(),
