--- a/crates/cherrystream-core/src/suspects/identity.rs
+++ b/crates/cherrystream-core/src/suspects/identity.rs
@@ -47,16 +47,20 @@
 
 /// Identifies a caller, as far as callers can be distinguished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct CallerMark(pub u64);
+pub struct CallerFingerprint(pub u64);
 
-impl CallerMark {
+impl CallerFingerprint {
     /// Returns the fingerprint of a caller: its workspace and the service of the host from which it
     /// sends.
-    pub fn new(key: &FingerprintKey, workspace: Option<&str>, service: Option<&str>) -> CallerMark {
+    pub fn new(
+        key: &FingerprintKey,
+        workspace: Option<&str>,
+        service: Option<&str>,
+    ) -> CallerFingerprint {
         let mut hasher = SipHasher13::new_with_key(&key.0);
         write_part(&mut hasher, workspace.unwrap_or_default().as_bytes());
         write_part(&mut hasher, service.unwrap_or_default().as_bytes());
-        CallerMark(hasher.finish())
+        CallerFingerprint(hasher.finish())
     }
 }
 
@@ -66,7 +70,7 @@
     /// The request, its workspace included: requests of two workspaces always differ.
     pub request: Fingerprint,
     /// Caller of the request.
-    pub caller: CallerMark,
+    pub caller: CallerFingerprint,
 }
 
 /// The parts of a request that identify it.
@@ -91,7 +95,7 @@
 impl Parts<'_> {
     /// Returns the fingerprints of the request and its caller.
     pub fn identity(&self, key: &FingerprintKey) -> Identity {
-        let caller = CallerMark::new(key, self.workspace, self.service);
+        let caller = CallerFingerprint::new(key, self.workspace, self.service);
         let mut hasher = SipHasher13::new_with_key(&key.0);
         // The service is left out: a caller sends the same request from hosts of several services.
         let workspace = self.workspace.unwrap_or_default();
--- a/crates/cherrystream-core/src/suspects/mod.rs
+++ b/crates/cherrystream-core/src/suspects/mod.rs
@@ -14,8 +14,8 @@
 pub mod table;
 
 pub use crashes::{Crash, CrashDetector, SentRequest};
-pub use identity::{CallerMark, Fingerprint, FingerprintKey, Identity};
-pub use record::{CrashId, CrashRecord, Message, Reach, Record, Standing};
+pub use identity::{CallerFingerprint, Fingerprint, FingerprintKey, Identity};
+pub use record::{CrashId, CrashRecord, Message, Reach, Record, Status};
 pub use table::{Suspects, Verdict};
 
 use siphasher::sip::SipHasher13;
--- a/crates/cherrystream-core/src/suspects/record.rs
+++ b/crates/cherrystream-core/src/suspects/record.rs
@@ -1,6 +1,6 @@
 //! Messages between daemons about suspect requests.
 
-use super::identity::{CallerMark, Fingerprint};
+use super::identity::{CallerFingerprint, Fingerprint};
 use serde::{Deserialize, Serialize};
 
 /// Random identifier of a crash of a backend server.
@@ -25,7 +25,7 @@
     /// Fingerprint of the request.
     pub request: Fingerprint,
     /// Caller of the request.
-    pub caller: CallerMark,
+    pub caller: CallerFingerprint,
     /// Incremented whenever the request is cleared; a record of an earlier generation is ignored.
     pub generation: u32,
     /// Whether it is sent to all daemons, or only to those with a backend server of the service.
@@ -57,7 +57,7 @@
 
 /// Status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum Status {
     /// No crash is recorded since it was last cleared.
     Clear,
     /// A backend server crashed while it was in flight, possibly by coincidence.
@@ -68,14 +68,14 @@
     HeldBack,
 }
 
-impl Standing {
+impl Status {
     /// Returns the value used in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
-            Standing::Clear => "clear",
-            Standing::Watched => "watched",
-            Standing::Alone => "runs-alone",
-            Standing::HeldBack => "held-back",
+            Status::Clear => "clear",
+            Status::Watched => "watched",
+            Status::Alone => "runs-alone",
+            Status::HeldBack => "held-back",
         }
     }
 }
--- a/crates/cherrystream-core/src/suspects/table.rs
+++ b/crates/cherrystream-core/src/suspects/table.rs
@@ -1,7 +1,7 @@
 //! Merges the crashes reported by all daemons and decides how a request is treated.
 
-use super::identity::{CallerMark, Fingerprint, Identity};
-use super::record::{CrashId, CrashRecord, Reach, Record, Standing};
+use super::identity::{CallerFingerprint, Fingerprint, Identity};
+use super::record::{CrashId, CrashRecord, Reach, Record, Status};
 use super::{Crash, SentRequest};
 use crate::units::Timestamp;
 use cherrystream_schema::messages::Suspect;
@@ -56,7 +56,7 @@
 
 #[derive(Clone, Debug)]
 struct Entry {
-    caller: CallerMark,
+    caller: CallerFingerprint,
     generation: u32,
     wide: bool,
     changed: Micros,
@@ -77,11 +77,11 @@
         if entry.is_expired(micros(now)) {
             return Verdict::Clear;
         }
-        match entry.standing() {
-            Standing::Clear => Verdict::Clear,
-            Standing::Watched => Verdict::Watched,
-            Standing::Alone => Verdict::Alone,
-            Standing::HeldBack => match entry.until_trial(micros(now)) {
+        match entry.status() {
+            Status::Clear => Verdict::Clear,
+            Status::Watched => Verdict::Watched,
+            Status::Alone => Verdict::Alone,
+            Status::HeldBack => match entry.until_trial(micros(now)) {
                 Duration::ZERO => Verdict::Alone,
                 left => Verdict::HeldBack(left),
             },
@@ -170,13 +170,13 @@
     pub fn list(&self, now: Timestamp) -> Vec<Suspect> {
         let known = self.entries.iter().filter(|(_, entry)| !entry.crashes.is_empty());
         let mut known: Vec<_> = known.collect();
-        known.sort_by_key(|(request, entry)| (std::cmp::Reverse(entry.standing()), **request));
+        known.sort_by_key(|(request, entry)| (std::cmp::Reverse(entry.status()), **request));
         known.iter().map(|(request, entry)| entry.to_suspect(micros(now), **request)).collect()
     }
 
     /// Returns the number of requests with a status.
-    pub fn count(&self, standing: Standing) -> usize {
-        self.entries.values().filter(|entry| entry.standing() == standing).count()
+    pub fn count(&self, status: Status) -> usize {
+        self.entries.values().filter(|entry| entry.status() == status).count()
     }
 
     /// Returns the number of requests in the table.
@@ -191,7 +191,7 @@
 
     /// Evicts the least important entry of the caller with the most entries, if the table is full.
     /// A caller that sends many suspect requests evicts only its own.
-    fn evict(&mut self, now: Micros, request: Fingerprint, caller: CallerMark) {
+    fn evict(&mut self, now: Micros, request: Fingerprint, caller: CallerFingerprint) {
         if self.entries.len() < MAX_ENTRIES || self.entries.contains_key(&request) {
             return;
         }
@@ -199,7 +199,7 @@
         if self.entries.len() < MAX_ENTRIES {
             return;
         }
-        let mut counts: HashMap<CallerMark, usize> = HashMap::from([(caller, 1)]);
+        let mut counts: HashMap<CallerFingerprint, usize> = HashMap::from([(caller, 1)]);
         for entry in self.entries.values() {
             *counts.entry(entry.caller).or_default() += 1;
         }
@@ -214,7 +214,7 @@
 }
 
 impl Entry {
-    fn new(caller: CallerMark, now: Micros) -> Entry {
+    fn new(caller: CallerFingerprint, now: Micros) -> Entry {
         Entry { caller, generation: 0, wide: false, changed: now, crashes: Vec::new() }
     }
 
@@ -237,14 +237,14 @@
         entry
     }
 
-    fn standing(&self) -> Standing {
+    fn status(&self) -> Status {
         let alone = self.crashes.iter().any(|crash| crash.alone);
         match self.crashes.len() {
-            0 => Standing::Clear,
-            1 => Standing::Watched,
-            ends if ends >= QUARANTINE_FROM_CRASHES && alone => Standing::HeldBack,
-            ends if ends >= ISOLATE_FROM_CRASHES => Standing::Alone,
-            _ => Standing::Watched,
+            0 => Status::Clear,
+            1 => Status::Watched,
+            ends if ends >= QUARANTINE_FROM_CRASHES && alone => Status::HeldBack,
+            ends if ends >= ISOLATE_FROM_CRASHES => Status::Alone,
+            _ => Status::Watched,
         }
     }
 
@@ -262,8 +262,8 @@
     }
 
     fn is_expired(&self, now: Micros) -> bool {
-        let lasts = match self.standing() {
-            Standing::HeldBack => QUARANTINE_TTL,
+        let lasts = match self.status() {
+            Status::HeldBack => QUARANTINE_TTL,
             _ => SUSPECT_TTL,
         };
         elapsed(self.last_crash().max(self.changed), now) >= lasts
@@ -349,22 +349,22 @@
     }
 
     fn to_suspect(&self, now: Micros, request: Fingerprint) -> Suspect {
-        let standing = self.standing();
+        let status = self.status();
         let trial = || self.until_trial(now).as_secs();
         Suspect {
             mark: request.to_string(),
             caller: format!("{:016x}", self.caller.0),
-            standing: standing.as_str().into(),
+            standing: status.as_str().into(),
             ends: self.crashes.len() as u64,
             ends_alone: self.crashes.iter().filter(|crash| crash.alone).count() as u64,
             last_end_s: elapsed(self.last_crash(), now).as_secs(),
-            next_trial_s: (standing == Standing::HeldBack).then(trial),
+            next_trial_s: (status == Status::HeldBack).then(trial),
         }
     }
 
     /// Returns the importance of the entry; the entry with the lowest is evicted first.
-    fn rank(&self) -> (Standing, usize, Micros) {
-        (self.standing(), self.crashes.len(), self.changed)
+    fn rank(&self) -> (Status, usize, Micros) {
+        (self.status(), self.crashes.len(), self.changed)
     }
 }
 
--- a/crates/cherrystream-core/tests/suspects/main.rs
+++ b/crates/cherrystream-core/tests/suspects/main.rs
@@ -6,7 +6,7 @@
 mod world;
 
 use cherrystream_core::suspects::{
-    CallerMark, Crash, CrashId, Fingerprint, Identity, Record, SentRequest, Suspects,
+    CallerFingerprint, Crash, CrashId, Fingerprint, Identity, Record, SentRequest, Suspects,
 };
 use cherrystream_core::units::Timestamp;
 
@@ -15,7 +15,7 @@
 }
 
 fn identity(request: u64, caller: u64) -> Identity {
-    Identity { request: Fingerprint(request), caller: CallerMark(caller) }
+    Identity { request: Fingerprint(request), caller: CallerFingerprint(caller) }
 }
 
 fn sent(request: u64, alone: bool) -> SentRequest {
--- a/crates/cherrystream-daemon/src/peer_server.rs
+++ b/crates/cherrystream-daemon/src/peer_server.rs
@@ -12,7 +12,7 @@
 use cherrystream_core::deadline::Deadline;
 use cherrystream_core::distribution::{Encoded, Library};
 use cherrystream_core::reasons::Reason;
-use cherrystream_core::suspects::{CallerMark, Fingerprint, FingerprintKey, Identity};
+use cherrystream_core::suspects::{CallerFingerprint, Fingerprint, FingerprintKey, Identity};
 use cherrystream_core::units::{self, Dotted, Revision};
 use cherrystream_net::body::{self, Body, Start};
 use cherrystream_net::chunks;
@@ -119,7 +119,7 @@
         let kind = aim.kind.into();
         let caller = aim.caller.map(Into::into);
         let workspace = aim.workspace.map(Into::into);
-        let mark = CallerMark::new(&self.fingerprints, aim.workspace, aim.caller);
+        let mark = CallerFingerprint::new(&self.fingerprints, aim.workspace, aim.caller);
         let claimed = read_claim(map, &service);
         headers::remove_own(&mut parts.headers);
         headers::set(&mut parts.headers, headers::ALLOWANCE, head.allowance);
--- a/crates/cherrystream-daemon/src/suspects/mod.rs
+++ b/crates/cherrystream-daemon/src/suspects/mod.rs
@@ -15,7 +15,7 @@
 use crate::metrics::{Metrics, SuspectLabel};
 use crate::peer::Peers;
 use cherrystream_core::log_budget::LogBudget;
-use cherrystream_core::suspects::{Crash, Fingerprint, Reach, Record, Standing, Suspects, Verdict};
+use cherrystream_core::suspects::{Crash, Fingerprint, Reach, Record, Status, Suspects, Verdict};
 use cherrystream_core::units::Timestamp;
 use cherrystream_net::clock::Clock;
 use cherrystream_net::key::Secret;
@@ -121,12 +121,12 @@
         );
     }
 
-    fn standing(&self, now: Timestamp, request: Fingerprint) -> Standing {
+    fn standing(&self, now: Timestamp, request: Fingerprint) -> Status {
         match self.table.lock().judge(now, request) {
-            Verdict::Clear => Standing::Clear,
-            Verdict::Watched => Standing::Watched,
-            Verdict::Alone => Standing::Alone,
-            Verdict::HeldBack(_) => Standing::HeldBack,
+            Verdict::Clear => Status::Clear,
+            Verdict::Watched => Status::Watched,
+            Verdict::Alone => Status::Alone,
+            Verdict::HeldBack(_) => Status::HeldBack,
         }
     }
 
@@ -137,7 +137,7 @@
 
     fn show(&self) {
         let table = self.table.lock();
-        for standing in [Standing::Watched, Standing::Alone, Standing::HeldBack] {
+        for standing in [Status::Watched, Status::Alone, Status::HeldBack] {
             let label = SuspectLabel { standing: standing.as_str() };
             let count = table.count(standing) as i64;
             self.tools.metrics.suspects.get_or_create(&label).set(count);
--- a/crates/cherrystream-daemon/tests/successors.rs
+++ b/crates/cherrystream-daemon/tests/successors.rs
@@ -5,7 +5,7 @@
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::settings;
 use cherrystream_core::shared;
-use cherrystream_core::suspects::{CallerMark, Fingerprint, Identity};
+use cherrystream_core::suspects::{CallerFingerprint, Fingerprint, Identity};
 use cherrystream_core::units::Revision;
 use cherrystream_daemon::inbound::InboundCall;
 use cherrystream_daemon::own_interface::OwnInterface;
@@ -78,7 +78,7 @@
         selective: false,
         good_for: None,
         reservation: None,
-        identity: Identity { request: Fingerprint(1), caller: CallerMark(1) },
+        identity: Identity { request: Fingerprint(1), caller: CallerFingerprint(1) },
         alone: false,
         call: "call-1".into(),
         claimed: None,
