--- a/crates/cherrystream-core/src/suspects/mod.rs
+++ b/crates/cherrystream-core/src/suspects/mod.rs
@@ -16,7 +16,7 @@
 pub use crashes::{Crash, CrashDetector, SentRequest};
 pub use identity::{CallerFingerprint, Fingerprint, FingerprintKey, Identity};
 pub use record::{CrashId, CrashRecord, Message, Reach, Record, Status};
-pub use table::{Suspects, Verdict};
+pub use table::{Suspects, Treatment};
 
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
--- a/crates/cherrystream-core/src/suspects/table.rs
+++ b/crates/cherrystream-core/src/suspects/table.rs
@@ -32,7 +32,7 @@
 
 /// How a request is treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Treatment {
     /// No restriction.
     Clear,
     /// Not hedged: no second attempt runs beside the first.
@@ -72,18 +72,18 @@
 
 impl Suspects {
     /// Returns how a request is treated.
-    pub fn judge(&self, now: Timestamp, request: Fingerprint) -> Verdict {
-        let Some(entry) = self.entries.get(&request) else { return Verdict::Clear };
+    pub fn treatment(&self, now: Timestamp, request: Fingerprint) -> Treatment {
+        let Some(entry) = self.entries.get(&request) else { return Treatment::Clear };
         if entry.is_expired(micros(now)) {
-            return Verdict::Clear;
+            return Treatment::Clear;
         }
         match entry.status() {
-            Status::Clear => Verdict::Clear,
-            Status::Watched => Verdict::Watched,
-            Status::Alone => Verdict::Alone,
+            Status::Clear => Treatment::Clear,
+            Status::Watched => Treatment::Watched,
+            Status::Alone => Treatment::Alone,
             Status::HeldBack => match entry.until_trial(micros(now)) {
-                Duration::ZERO => Verdict::Alone,
-                left => Verdict::HeldBack(left),
+                Duration::ZERO => Treatment::Alone,
+                left => Treatment::HeldBack(left),
             },
         }
     }
--- a/crates/cherrystream-core/tests/suspects/table.rs
+++ b/crates/cherrystream-core/tests/suspects/table.rs
@@ -2,7 +2,7 @@
 
 use super::{crash, identity, merge, ms, sent};
 use cherrystream_core::suspects::table::MAX_ENTRIES;
-use cherrystream_core::suspects::{Fingerprint, Reach, Record, SentRequest, Suspects, Verdict};
+use cherrystream_core::suspects::{Fingerprint, Reach, Record, SentRequest, Suspects, Treatment};
 use std::time::Duration;
 
 const POISON: Fingerprint = Fingerprint(1);
@@ -12,9 +12,9 @@
 fn quarantined() -> Suspects {
     let mut table = Suspects::default();
     table.on_end(ms(100), &crash(1, &[sent(1, false)]));
-    assert_eq!(table.judge(ms(101), POISON), Verdict::Watched);
+    assert_eq!(table.treatment(ms(101), POISON), Treatment::Watched);
     table.on_end(ms(200), &crash(2, &[sent(1, false)]));
-    assert_eq!(table.judge(ms(201), POISON), Verdict::Alone);
+    assert_eq!(table.treatment(ms(201), POISON), Treatment::Alone);
     table.on_end(ms(300), &crash(3, &[sent(1, true)]));
     table
 }
@@ -23,14 +23,14 @@
 fn three_crashes_with_one_in_isolation_quarantine_a_request() {
     let table = quarantined();
     let left = Duration::from_secs(29);
-    assert_eq!(table.judge(ms(1_300), POISON), Verdict::HeldBack(left));
+    assert_eq!(table.treatment(ms(1_300), POISON), Treatment::HeldBack(left));
 }
 
 #[test]
 fn a_crash_counts_once_for_duplicates_of_a_request() {
     let mut table = Suspects::default();
     table.on_end(ms(100), &crash(1, &[sent(1, false), sent(1, false), sent(1, false)]));
-    assert_eq!(table.judge(ms(101), POISON), Verdict::Watched);
+    assert_eq!(table.treatment(ms(101), POISON), Treatment::Watched);
 }
 
 /// Most servers are killed at once while the same harmless request is in flight at several.
@@ -40,9 +40,9 @@
     for end in 1..=20 {
         table.on_end(ms(100), &crash(end, &[sent(1, false)]));
     }
-    assert_eq!(table.judge(ms(101), POISON), Verdict::Alone);
+    assert_eq!(table.treatment(ms(101), POISON), Treatment::Alone);
     table.on_answer(ms(150), POISON);
-    assert_eq!(table.judge(ms(151), POISON), Verdict::Clear);
+    assert_eq!(table.treatment(ms(151), POISON), Treatment::Clear);
 }
 
 /// Servers crash repeatedly by themselves while a request is in flight that succeeds elsewhere.
@@ -51,10 +51,10 @@
     let mut table = Suspects::default();
     for end in 1..=50 {
         table.on_end(ms(end * 100), &crash(end, &[sent(1, false)]));
-        assert_eq!(table.judge(ms(end * 100), POISON), Verdict::Watched);
+        assert_eq!(table.treatment(ms(end * 100), POISON), Treatment::Watched);
         table.on_answer(ms(end * 100 + 50), POISON);
     }
-    assert_eq!(table.judge(ms(5_100), POISON), Verdict::Clear);
+    assert_eq!(table.treatment(ms(5_100), POISON), Treatment::Clear);
 }
 
 /// The service is never repaired.
@@ -64,11 +64,11 @@
     let (mut at, mut trials, mut in_first_minutes) = (300, 0, 0);
     while at < 24 * 3_600 * SECOND {
         at += SECOND;
-        if table.judge(ms(at), POISON) == Verdict::Alone {
+        if table.treatment(ms(at), POISON) == Treatment::Alone {
             trials += 1;
             in_first_minutes += u32::from(at < 200 * SECOND);
             table.on_end(ms(at), &crash(100 + trials, &[sent(1, true)]));
-            assert_ne!(table.judge(ms(at), POISON), Verdict::Alone);
+            assert_ne!(table.treatment(ms(at), POISON), Treatment::Alone);
         }
     }
     // After 30 s, 90 s, 210 s, and so on up to an hour.
@@ -80,10 +80,10 @@
 #[test]
 fn a_trial_that_succeeds_clears_the_request() {
     let mut table = quarantined();
-    assert_eq!(table.judge(ms(30_300), POISON), Verdict::Alone);
+    assert_eq!(table.treatment(ms(30_300), POISON), Treatment::Alone);
     let (reach, _) = table.on_answer(ms(30_400), POISON).unwrap();
     assert_eq!(reach, Reach::All);
-    assert_eq!(table.judge(ms(30_401), POISON), Verdict::Clear);
+    assert_eq!(table.treatment(ms(30_401), POISON), Treatment::Clear);
 }
 
 #[test]
@@ -96,7 +96,7 @@
     assert_eq!((suspect.ends, suspect.ends_alone, suspect.last_end_s), (3, 1, 10));
     assert_eq!(suspect.next_trial_s, Some(20));
     assert!(table.lift(ms(10_301), POISON).is_some());
-    assert_eq!(table.judge(ms(10_302), POISON), Verdict::Clear);
+    assert_eq!(table.treatment(ms(10_302), POISON), Treatment::Clear);
     assert!(table.lift(ms(10_303), POISON).is_none());
 }
 
@@ -116,8 +116,8 @@
     let records = quarantined().wide(ms(20_300));
     let mut restarted = Suspects::default();
     assert!(restarted.on_word(ms(5), &records[0]));
-    assert_eq!(restarted.judge(ms(5), POISON), Verdict::HeldBack(Duration::from_secs(10)));
-    assert_eq!(restarted.judge(ms(10_005), POISON), Verdict::Alone);
+    assert_eq!(restarted.treatment(ms(5), POISON), Treatment::HeldBack(Duration::from_secs(10)));
+    assert_eq!(restarted.treatment(ms(10_005), POISON), Treatment::Alone);
 }
 
 #[test]
@@ -126,7 +126,7 @@
     let late = table.wide(ms(400));
     table.on_answer(ms(30_400), POISON);
     assert!(!table.on_word(ms(31_000), &late[0]));
-    assert_eq!(table.judge(ms(31_000), POISON), Verdict::Clear);
+    assert_eq!(table.treatment(ms(31_000), POISON), Treatment::Clear);
 }
 
 #[test]
@@ -139,7 +139,7 @@
         let records = other.wide(ms(350 + round * 100));
         merge(&mut one, ms(400 + round * 100), &records);
     }
-    assert_eq!(one.judge(ms(30_300), POISON), Verdict::Alone);
+    assert_eq!(one.treatment(ms(30_300), POISON), Treatment::Alone);
 }
 
 #[test]
@@ -170,7 +170,7 @@
         table.on_end(ms(400), &crash(9_000 + end as u64, in_flight));
         assert!(table.len() <= MAX_ENTRIES);
     }
-    assert!(matches!(table.judge(ms(500), POISON), Verdict::HeldBack(_)));
+    assert!(matches!(table.treatment(ms(500), POISON), Treatment::HeldBack(_)));
 }
 
 #[test]
--- a/crates/cherrystream-core/tests/suspects/world.rs
+++ b/crates/cherrystream-core/tests/suspects/world.rs
@@ -5,7 +5,7 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use cherrystream_core::suspects::{
     self, CrashDetector, CrashId, Fingerprint, Message, Reach, Record, SentRequest, Suspects,
-    Verdict,
+    Treatment,
 };
 
 const HOSTS: usize = 6;
@@ -90,9 +90,9 @@
     fn send(&mut self, u: &mut Unstructured<'_>, request: u64) -> Result<()> {
         let from = u.choose_index(HOSTS)?;
         for _ in 0..2 {
-            let verdict = self.hosts[from].table.judge(ms(self.now), Fingerprint(request));
-            let mut alone = verdict == Verdict::Alone;
-            if matches!(verdict, Verdict::HeldBack(_)) {
+            let treatment = self.hosts[from].table.treatment(ms(self.now), Fingerprint(request));
+            let mut alone = treatment == Treatment::Alone;
+            if matches!(treatment, Treatment::HeldBack(_)) {
                 return Ok(());
             }
             let open: Vec<usize> =
@@ -105,14 +105,14 @@
                 open.iter().max_by_key(weight).copied().unwrap_or_default()
             };
             let mut to = if alone { selected_host(&open) } else { *u.choose(&open)? };
-            match self.hosts[to].table.judge(ms(self.now), Fingerprint(request)) {
-                Verdict::HeldBack(_) => return Ok(()),
-                Verdict::Alone if !alone => (to, alone) = (selected_host(&open), true),
+            match self.hosts[to].table.treatment(ms(self.now), Fingerprint(request)) {
+                Treatment::HeldBack(_) => return Ok(()),
+                Treatment::Alone if !alone => (to, alone) = (selected_host(&open), true),
                 _ => {}
             }
             if matches!(
-                self.hosts[to].table.judge(ms(self.now), Fingerprint(request)),
-                Verdict::HeldBack(_)
+                self.hosts[to].table.treatment(ms(self.now), Fingerprint(request)),
+                Treatment::HeldBack(_)
             ) {
                 return Ok(());
             }
@@ -272,8 +272,8 @@
         while !u.is_empty() {
             world.step(u)?;
             let is_quarantined = |host: &Host| {
-                let verdict = host.table.judge(ms(world.now), Fingerprint(HARMLESS));
-                matches!(verdict, Verdict::HeldBack(_))
+                let treatment = host.table.treatment(ms(world.now), Fingerprint(HARMLESS));
+                matches!(treatment, Treatment::HeldBack(_))
             };
             assert!(world.has_coincidence || !world.hosts.iter().any(is_quarantined));
         }
--- a/crates/cherrystream-daemon/src/inbound/mod.rs
+++ b/crates/cherrystream-daemon/src/inbound/mod.rs
@@ -21,7 +21,7 @@
 use cherrystream_core::reservations::{Reservation, Reservations};
 use cherrystream_core::rollout;
 use cherrystream_core::shared;
-use cherrystream_core::suspects::{Identity, Verdict};
+use cherrystream_core::suspects::{Identity, Treatment};
 use cherrystream_net::body::{self, Body};
 use cherrystream_net::clock::Clock;
 use cherrystream_net::interface::CallInterface;
@@ -277,11 +277,11 @@
         call: &InboundCall,
     ) -> Result<Option<AlonePlace>, Refused> {
         let must_be_alone = match self.suspects.judge(call.identity.request) {
-            Verdict::HeldBack(retry_after) => {
+            Treatment::HeldBack(retry_after) => {
                 return Err(Refused { retry_after, ..self.refuse(Reason::HeldBack) });
             }
-            Verdict::Alone => true,
-            Verdict::Clear | Verdict::Watched => false,
+            Treatment::Alone => true,
+            Treatment::Clear | Treatment::Watched => false,
         };
         // Its sender knows less than this door, and would have sent it elsewhere.
         if must_be_alone && !call.alone {
--- a/crates/cherrystream-daemon/src/outbound/hedging.rs
+++ b/crates/cherrystream-daemon/src/outbound/hedging.rs
@@ -6,7 +6,7 @@
 use crate::refusal::Refused;
 use cherrystream_core::choose::ServerId;
 use cherrystream_core::retry;
-use cherrystream_core::suspects::Verdict;
+use cherrystream_core::suspects::Treatment;
 use cherrystream_net::body::Body;
 use http::Response;
 
@@ -21,7 +21,7 @@
         server: &ServerId,
     ) -> Tried {
         // A second attempt of a request that ends backend servers ends one more.
-        let is_clear = self.suspects.judge(call.identity.request) == Verdict::Clear;
+        let is_clear = self.suspects.judge(call.identity.request) == Treatment::Clear;
         let Some(mut second) = call.fork_for_hedge().filter(|_| is_clear) else {
             return self.attempt(call, held, server, None).await;
         };
--- a/crates/cherrystream-daemon/src/outbound/retrying.rs
+++ b/crates/cherrystream-daemon/src/outbound/retrying.rs
@@ -6,16 +6,16 @@
 use crate::refusal::Refused;
 use cherrystream_core::reasons::{Outcome, Reason};
 use cherrystream_core::retry::{self, Failed};
-use cherrystream_core::suspects::Verdict;
+use cherrystream_core::suspects::Treatment;
 use cherrystream_net::serve::Phase;
 
 impl Outbound {
     /// Decides on a request by what is known of it: each attempt may end one more backend server.
     pub(super) fn check_suspect(&self, call: &mut Call) -> Result<(), Refused> {
         match self.suspects.judge(call.identity.request) {
-            Verdict::Clear | Verdict::Watched => {}
-            Verdict::Alone => call.run_alone(),
-            Verdict::HeldBack(retry_after) => {
+            Treatment::Clear | Treatment::Watched => {}
+            Treatment::Alone => call.run_alone(),
+            Treatment::HeldBack(retry_after) => {
                 return Err(Refused { retry_after, ..Refused::new(Reason::HeldBack) });
             }
         }
--- a/crates/cherrystream-daemon/src/suspects/mod.rs
+++ b/crates/cherrystream-daemon/src/suspects/mod.rs
@@ -15,7 +15,7 @@
 use crate::metrics::{Metrics, SuspectLabel};
 use crate::peer::Peers;
 use cherrystream_core::log_budget::LogBudget;
-use cherrystream_core::suspects::{Crash, Fingerprint, Reach, Record, Status, Suspects, Verdict};
+use cherrystream_core::suspects::{Crash, Fingerprint, Reach, Record, Status, Suspects, Treatment};
 use cherrystream_core::units::Timestamp;
 use cherrystream_net::clock::Clock;
 use cherrystream_net::key::Secret;
@@ -58,8 +58,8 @@
     }
 
     /// Returns what is done with a request.
-    pub fn judge(&self, request: Fingerprint) -> Verdict {
-        self.table.lock().judge(self.tools.clock.now(), request)
+    pub fn judge(&self, request: Fingerprint) -> Treatment {
+        self.table.lock().treatment(self.tools.clock.now(), request)
     }
 
     /// Returns the requests under which backend servers ended.
@@ -82,11 +82,11 @@
     fn on_answer(self: &Arc<Self>, door: &Door, request: Fingerprint) {
         let now = self.tools.clock.now();
         let mut table = self.table.lock();
-        let was = table.judge(now, request);
+        let was = table.treatment(now, request);
         let news = table.on_answer(now, request);
         drop(table);
         let Some((reach, record)) = news else { return };
-        if was != Verdict::Watched {
+        if was != Treatment::Watched {
             self.tools.metrics.suspects_cleared.inc();
             log::info!("suspect: mark={request} standing=clear by=answer");
         }
@@ -122,11 +122,11 @@
     }
 
     fn standing(&self, now: Timestamp, request: Fingerprint) -> Status {
-        match self.table.lock().judge(now, request) {
-            Verdict::Clear => Status::Clear,
-            Verdict::Watched => Status::Watched,
-            Verdict::Alone => Status::Alone,
-            Verdict::HeldBack(_) => Status::HeldBack,
+        match self.table.lock().treatment(now, request) {
+            Treatment::Clear => Status::Clear,
+            Treatment::Watched => Status::Watched,
+            Treatment::Alone => Status::Alone,
+            Treatment::HeldBack(_) => Status::HeldBack,
         }
     }
 
