--- a/crates/cherrystream-core/src/suspects/mod.rs
+++ b/crates/cherrystream-core/src/suspects/mod.rs
@@ -15,7 +15,7 @@
 
 pub use crashes::{Crash, CrashDetector, SentRequest};
 pub use identity::{CallerFingerprint, Fingerprint, FingerprintKey, Identity};
-pub use record::{CrashId, CrashRecord, Message, Reach, Record, Status};
+pub use record::{Audience, CrashId, CrashRecord, Message, Record, Status};
 pub use table::{Suspects, Treatment};
 
 use siphasher::sip::SipHasher13;
--- a/crates/cherrystream-core/src/suspects/record.rs
+++ b/crates/cherrystream-core/src/suspects/record.rs
@@ -38,7 +38,7 @@
 
 /// The daemons to which a change is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reach {
+pub enum Audience {
     /// Daemons with a backend server of the service.
     Service,
     /// All daemons.
--- a/crates/cherrystream-core/src/suspects/table.rs
+++ b/crates/cherrystream-core/src/suspects/table.rs
@@ -1,7 +1,7 @@
 //! Merges the crashes reported by all daemons and decides how a request is treated.
 
 use super::identity::{CallerFingerprint, Fingerprint, Identity};
-use super::record::{CrashId, CrashRecord, Reach, Record, Status};
+use super::record::{Audience, CrashId, CrashRecord, Record, Status};
 use super::{Crash, SentRequest};
 use crate::units::Timestamp;
 use cherrystream_schema::messages::Suspect;
@@ -89,7 +89,7 @@
     }
 
     /// Records a crash confirmed by this daemon; returns the records to send to other daemons.
-    pub fn on_end(&mut self, now: Timestamp, crash: &Crash) -> Vec<(Reach, Record)> {
+    pub fn on_end(&mut self, now: Timestamp, crash: &Crash) -> Vec<(Audience, Record)> {
         let now = micros(now);
         let suspects =
             crash.in_flight.iter().filter_map(|sent| self.add_crash(now, crash.id, sent));
@@ -101,7 +101,7 @@
         now: Micros,
         id: CrashId,
         sent: &SentRequest,
-    ) -> Option<(Reach, Record)> {
+    ) -> Option<(Audience, Record)> {
         let Identity { request, caller } = sent.identity;
         self.evict(now, request, caller);
         let entry = self.entries.entry(request).or_insert_with(|| Entry::new(caller, now));
@@ -114,7 +114,11 @@
 
     /// Clears a request that was in flight here and got a complete response, so it crashed no
     /// backend server. Returns the record to send to other daemons.
-    pub fn on_answer(&mut self, now: Timestamp, request: Fingerprint) -> Option<(Reach, Record)> {
+    pub fn on_answer(
+        &mut self,
+        now: Timestamp,
+        request: Fingerprint,
+    ) -> Option<(Audience, Record)> {
         let now = micros(now);
         let entry = self.entries.get_mut(&request).filter(|entry| !entry.crashes.is_empty())?;
         entry.clear(now);
@@ -122,7 +126,7 @@
     }
 
     /// Clears a request on behalf of an operator; returns the record to send to other daemons.
-    pub fn lift(&mut self, now: Timestamp, request: Fingerprint) -> Option<(Reach, Record)> {
+    pub fn lift(&mut self, now: Timestamp, request: Fingerprint) -> Option<(Audience, Record)> {
         self.on_answer(now, request)
     }
 
@@ -317,9 +321,9 @@
         news
     }
 
-    fn news(&self, now: Micros, request: Fingerprint) -> (Reach, Record) {
-        let reach = if self.wide { Reach::All } else { Reach::Service };
-        (reach, self.record(now, request))
+    fn news(&self, now: Micros, request: Fingerprint) -> (Audience, Record) {
+        let audience = if self.wide { Audience::All } else { Audience::Service };
+        (audience, self.record(now, request))
     }
 
     fn record(&self, now: Micros, request: Fingerprint) -> Record {
--- a/crates/cherrystream-core/tests/suspects/table.rs
+++ b/crates/cherrystream-core/tests/suspects/table.rs
@@ -2,7 +2,9 @@
 
 use super::{crash, identity, merge, ms, sent};
 use cherrystream_core::suspects::table::MAX_ENTRIES;
-use cherrystream_core::suspects::{Fingerprint, Reach, Record, SentRequest, Suspects, Treatment};
+use cherrystream_core::suspects::{
+    Audience, Fingerprint, Record, SentRequest, Suspects, Treatment,
+};
 use std::time::Duration;
 
 const POISON: Fingerprint = Fingerprint(1);
@@ -81,8 +83,8 @@
 fn a_trial_that_succeeds_clears_the_request() {
     let mut table = quarantined();
     assert_eq!(table.treatment(ms(30_300), POISON), Treatment::Alone);
-    let (reach, _) = table.on_answer(ms(30_400), POISON).unwrap();
-    assert_eq!(reach, Reach::All);
+    let (audience, _) = table.on_answer(ms(30_400), POISON).unwrap();
+    assert_eq!(audience, Audience::All);
     assert_eq!(table.treatment(ms(30_401), POISON), Treatment::Clear);
 }
 
@@ -104,9 +106,9 @@
 fn a_first_crash_is_announced_only_to_daemons_of_the_service() {
     let mut table = Suspects::default();
     let news = table.on_end(ms(100), &crash(1, &[sent(1, false)]));
-    assert_eq!(news[0].0, Reach::Service);
+    assert_eq!(news[0].0, Audience::Service);
     let news = table.on_end(ms(200), &crash(2, &[sent(1, false)]));
-    assert_eq!(news[0].0, Reach::All);
+    assert_eq!(news[0].0, Audience::All);
     assert!(table.on_end(ms(201), &crash(2, &[sent(1, false)])).is_empty());
 }
 
--- a/crates/cherrystream-core/tests/suspects/world.rs
+++ b/crates/cherrystream-core/tests/suspects/world.rs
@@ -4,7 +4,7 @@
 use super::{identity, merge, ms};
 use arbtest::arbitrary::{Result, Unstructured};
 use cherrystream_core::suspects::{
-    self, CrashDetector, CrashId, Fingerprint, Message, Reach, Record, SentRequest, Suspects,
+    self, Audience, CrashDetector, CrashId, Fingerprint, Message, Record, SentRequest, Suspects,
     Treatment,
 };
 
@@ -71,7 +71,7 @@
         &mut self,
         u: &mut Unstructured<'_>,
         from: usize,
-        news: Vec<(Reach, Record)>,
+        news: Vec<(Audience, Record)>,
     ) -> Result<()> {
         for (_, record) in news {
             for to in 0..HOSTS {
--- a/crates/cherrystream-daemon/src/suspects/mod.rs
+++ b/crates/cherrystream-daemon/src/suspects/mod.rs
@@ -15,7 +15,9 @@
 use crate::metrics::{Metrics, SuspectLabel};
 use crate::peer::Peers;
 use cherrystream_core::log_budget::LogBudget;
-use cherrystream_core::suspects::{Crash, Fingerprint, Reach, Record, Status, Suspects, Treatment};
+use cherrystream_core::suspects::{
+    Audience, Crash, Fingerprint, Record, Status, Suspects, Treatment,
+};
 use cherrystream_core::units::Timestamp;
 use cherrystream_net::clock::Clock;
 use cherrystream_net::key::Secret;
@@ -74,7 +76,7 @@
         let Some((_, record)) = news else { return false };
         log::info!("suspect: mark={request} standing=clear by=operator");
         // The operator may have asked a daemon of another service.
-        self.clone().tell(None, vec![(Reach::All, record)]);
+        self.clone().tell(None, vec![(Audience::All, record)]);
         true
     }
 
@@ -85,12 +87,12 @@
         let was = table.treatment(now, request);
         let news = table.on_answer(now, request);
         drop(table);
-        let Some((reach, record)) = news else { return };
+        let Some((audience, record)) = news else { return };
         if was != Treatment::Watched {
             self.tools.metrics.suspects_cleared.inc();
             log::info!("suspect: mark={request} standing=clear by=answer");
         }
-        self.clone().tell(Some(door.id.service.clone()), vec![(reach, record)]);
+        self.clone().tell(Some(door.id.service.clone()), vec![(audience, record)]);
     }
 
     /// Takes a proved end of a door's backend server.
--- a/crates/cherrystream-daemon/src/suspects/telling.rs
+++ b/crates/cherrystream-daemon/src/suspects/telling.rs
@@ -2,7 +2,7 @@
 
 use super::SuspectWatch;
 use crate::headers::{self, Op};
-use cherrystream_core::suspects::{Message, Reach, Record, ring};
+use cherrystream_core::suspects::{Audience, Message, Record, ring};
 use cherrystream_net::body::{self, Body, Start};
 use cherrystream_schema::messages::Shared;
 use http::Request;
@@ -101,9 +101,12 @@
     }
 
     /// Tells others of changes that began here, those beside the backend servers of the service first.
-    pub(super) fn tell(self: Arc<Self>, service: Option<Arc<str>>, news: Vec<(Reach, Record)>) {
-        let wide: Vec<Record> =
-            news.iter().filter(|(reach, _)| *reach == Reach::All).map(|(_, r)| r.clone()).collect();
+    pub(super) fn tell(self: Arc<Self>, service: Option<Arc<str>>, news: Vec<(Audience, Record)>) {
+        let wide: Vec<Record> = news
+            .iter()
+            .filter(|(audience, _)| *audience == Audience::All)
+            .map(|(_, r)| r.clone())
+            .collect();
         let all: Vec<Record> = news.into_iter().map(|(_, record)| record).collect();
         let of_service = service.map(|service| self.hosts_of(&service)).unwrap_or_default();
         if !all.is_empty() {
