--- a/crates/cherrystream-core/src/suspects/ring.rs
+++ b/crates/cherrystream-core/src/suspects/ring.rs
@@ -9,7 +9,7 @@
 use std::hash::Hasher;
 
 /// Returns the hosts to which the daemon of host `own` sends records.
-pub fn partners<'a>(hosts: impl Iterator<Item = &'a str>, own: &str) -> Vec<&'a str> {
+pub fn peers<'a>(hosts: impl Iterator<Item = &'a str>, own: &str) -> Vec<&'a str> {
     let mut ring: Vec<&str> = hosts.filter(|host| *host != own).collect();
     ring.sort_by_key(|host| position(host));
     let start = ring.partition_point(|host| position(host) < position(own));
--- a/crates/cherrystream-core/tests/suspects/ring.rs
+++ b/crates/cherrystream-core/tests/suspects/ring.rs
@@ -15,7 +15,7 @@
     for step in 1.. {
         let mut next = Vec::new();
         for from in senders {
-            for to in ring::partners(hosts.iter().map(String::as_str), from) {
+            for to in ring::peers(hosts.iter().map(String::as_str), from) {
                 messages += 1;
                 if is_up(to) && !received.contains_key(to) {
                     received.insert(to, step);
@@ -57,17 +57,17 @@
 fn peers_are_few_and_distinct() {
     let hosts = fleet(790);
     for own in &hosts {
-        let partners = ring::partners(hosts.iter().map(String::as_str), own);
-        assert_eq!(partners.len(), 10);
-        let mut once = partners.clone();
+        let peers = ring::peers(hosts.iter().map(String::as_str), own);
+        assert_eq!(peers.len(), 10);
+        let mut once = peers.clone();
         once.sort_unstable();
         once.dedup();
-        assert_eq!(once.len(), partners.len());
-        assert!(!partners.contains(&own.as_str()));
+        assert_eq!(once.len(), peers.len());
+        assert!(!peers.contains(&own.as_str()));
     }
     // A host that is not in the list yet has the same peers as later.
     let others = || hosts.iter().skip(1).map(String::as_str);
-    let listed = ring::partners(hosts.iter().map(String::as_str), &hosts[0]);
-    assert_eq!(ring::partners(others(), &hosts[0]), listed);
-    assert!(ring::partners(std::iter::empty(), "a").is_empty());
+    let listed = ring::peers(hosts.iter().map(String::as_str), &hosts[0]);
+    assert_eq!(ring::peers(others(), &hosts[0]), listed);
+    assert!(ring::peers(std::iter::empty(), "a").is_empty());
 }
--- a/crates/cherrystream-daemon/src/suspects/telling.rs
+++ b/crates/cherrystream-daemon/src/suspects/telling.rs
@@ -154,7 +154,7 @@
     /// Returns the addresses of the daemons that this one tells of what all are to know.
     fn partners(&self) -> Vec<String> {
         let hosts = &self.tools.held.get().shared.hosts;
-        let partners = ring::partners(hosts.keys().map(String::as_str), &self.tools.host);
+        let partners = ring::peers(hosts.keys().map(String::as_str), &self.tools.host);
         let known = partners.into_iter().filter_map(|host| hosts.get(host));
         known.map(|host| host.peer_address.clone()).collect()
     }
