--- a/crates/cherrystream-core/src/suspects/table.rs
+++ b/crates/cherrystream-core/src/suspects/table.rs
@@ -89,7 +89,7 @@
     }
 
     /// Records a crash confirmed by this daemon; returns the records to send to other daemons.
-    pub fn on_end(&mut self, now: Timestamp, crash: &Crash) -> Vec<(Audience, Record)> {
+    pub fn on_crash(&mut self, now: Timestamp, crash: &Crash) -> Vec<(Audience, Record)> {
         let now = micros(now);
         let suspects =
             crash.in_flight.iter().filter_map(|sent| self.add_crash(now, crash.id, sent));
@@ -126,12 +126,12 @@
     }
 
     /// Clears a request on behalf of an operator; returns the record to send to other daemons.
-    pub fn lift(&mut self, now: Timestamp, request: Fingerprint) -> Option<(Audience, Record)> {
+    pub fn clear(&mut self, now: Timestamp, request: Fingerprint) -> Option<(Audience, Record)> {
         self.on_answer(now, request)
     }
 
     /// Merges a record of another daemon; returns whether it changed anything.
-    pub fn on_word(&mut self, now: Timestamp, record: &Record) -> bool {
+    pub fn on_record(&mut self, now: Timestamp, record: &Record) -> bool {
         let now = micros(now);
         let other = Entry::from_record(now, record);
         if other.is_expired(now) {
@@ -147,7 +147,7 @@
     }
 
     /// Removes expired entries.
-    pub fn tick(&mut self, now: Timestamp) {
+    pub fn expire(&mut self, now: Timestamp) {
         let now = micros(now);
         self.entries.retain(|_, entry| !entry.is_expired(now));
     }
@@ -160,12 +160,12 @@
     }
 
     /// Returns whether there are records that are sent to all daemons.
-    pub fn has_wide(&self) -> bool {
+    pub fn has_wide_records(&self) -> bool {
         self.entries.values().any(|entry| entry.wide)
     }
 
     /// Returns all records that are sent to all daemons.
-    pub fn wide(&self, now: Timestamp) -> Vec<Record> {
+    pub fn wide_records(&self, now: Timestamp) -> Vec<Record> {
         let wide = self.entries.iter().filter(|(_, entry)| entry.wide);
         wide.map(|(request, entry)| entry.record(micros(now), *request)).collect()
     }
--- a/crates/cherrystream-core/tests/suspects/main.rs
+++ b/crates/cherrystream-core/tests/suspects/main.rs
@@ -29,6 +29,6 @@
 /// Merges the records of another daemon.
 fn merge(table: &mut Suspects, now: Timestamp, records: &[Record]) {
     for record in records {
-        table.on_word(now, record);
+        table.on_record(now, record);
     }
 }
--- a/crates/cherrystream-core/tests/suspects/table.rs
+++ b/crates/cherrystream-core/tests/suspects/table.rs
@@ -13,11 +13,11 @@
 /// A request that crashes a server, its retry on another server, and the same request in isolation.
 fn quarantined() -> Suspects {
     let mut table = Suspects::default();
-    table.on_end(ms(100), &crash(1, &[sent(1, false)]));
+    table.on_crash(ms(100), &crash(1, &[sent(1, false)]));
     assert_eq!(table.treatment(ms(101), POISON), Treatment::Watched);
-    table.on_end(ms(200), &crash(2, &[sent(1, false)]));
+    table.on_crash(ms(200), &crash(2, &[sent(1, false)]));
     assert_eq!(table.treatment(ms(201), POISON), Treatment::Alone);
-    table.on_end(ms(300), &crash(3, &[sent(1, true)]));
+    table.on_crash(ms(300), &crash(3, &[sent(1, true)]));
     table
 }
 
@@ -31,7 +31,7 @@
 #[test]
 fn a_crash_counts_once_for_duplicates_of_a_request() {
     let mut table = Suspects::default();
-    table.on_end(ms(100), &crash(1, &[sent(1, false), sent(1, false), sent(1, false)]));
+    table.on_crash(ms(100), &crash(1, &[sent(1, false), sent(1, false), sent(1, false)]));
     assert_eq!(table.treatment(ms(101), POISON), Treatment::Watched);
 }
 
@@ -40,7 +40,7 @@
 fn a_mass_kill_quarantines_no_request() {
     let mut table = Suspects::default();
     for end in 1..=20 {
-        table.on_end(ms(100), &crash(end, &[sent(1, false)]));
+        table.on_crash(ms(100), &crash(end, &[sent(1, false)]));
     }
     assert_eq!(table.treatment(ms(101), POISON), Treatment::Alone);
     table.on_answer(ms(150), POISON);
@@ -52,7 +52,7 @@
 fn a_response_between_two_crashes_clears_a_request() {
     let mut table = Suspects::default();
     for end in 1..=50 {
-        table.on_end(ms(end * 100), &crash(end, &[sent(1, false)]));
+        table.on_crash(ms(end * 100), &crash(end, &[sent(1, false)]));
         assert_eq!(table.treatment(ms(end * 100), POISON), Treatment::Watched);
         table.on_answer(ms(end * 100 + 50), POISON);
     }
@@ -69,7 +69,7 @@
         if table.treatment(ms(at), POISON) == Treatment::Alone {
             trials += 1;
             in_first_minutes += u32::from(at < 200 * SECOND);
-            table.on_end(ms(at), &crash(100 + trials, &[sent(1, true)]));
+            table.on_crash(ms(at), &crash(100 + trials, &[sent(1, true)]));
             assert_ne!(table.treatment(ms(at), POISON), Treatment::Alone);
         }
     }
@@ -97,27 +97,27 @@
     assert_eq!((&*suspect.mark, &*suspect.standing), ("0000000000000001", "held-back"));
     assert_eq!((suspect.ends, suspect.ends_alone, suspect.last_end_s), (3, 1, 10));
     assert_eq!(suspect.next_trial_s, Some(20));
-    assert!(table.lift(ms(10_301), POISON).is_some());
+    assert!(table.clear(ms(10_301), POISON).is_some());
     assert_eq!(table.treatment(ms(10_302), POISON), Treatment::Clear);
-    assert!(table.lift(ms(10_303), POISON).is_none());
+    assert!(table.clear(ms(10_303), POISON).is_none());
 }
 
 #[test]
 fn a_first_crash_is_announced_only_to_daemons_of_the_service() {
     let mut table = Suspects::default();
-    let news = table.on_end(ms(100), &crash(1, &[sent(1, false)]));
+    let news = table.on_crash(ms(100), &crash(1, &[sent(1, false)]));
     assert_eq!(news[0].0, Audience::Service);
-    let news = table.on_end(ms(200), &crash(2, &[sent(1, false)]));
+    let news = table.on_crash(ms(200), &crash(2, &[sent(1, false)]));
     assert_eq!(news[0].0, Audience::All);
-    assert!(table.on_end(ms(201), &crash(2, &[sent(1, false)])).is_empty());
+    assert!(table.on_crash(ms(201), &crash(2, &[sent(1, false)])).is_empty());
 }
 
 /// A daemon that has just started receives a record of crashes before its start.
 #[test]
 fn a_record_keeps_its_age_over_a_restart() {
-    let records = quarantined().wide(ms(20_300));
+    let records = quarantined().wide_records(ms(20_300));
     let mut restarted = Suspects::default();
-    assert!(restarted.on_word(ms(5), &records[0]));
+    assert!(restarted.on_record(ms(5), &records[0]));
     assert_eq!(restarted.treatment(ms(5), POISON), Treatment::HeldBack(Duration::from_secs(10)));
     assert_eq!(restarted.treatment(ms(10_005), POISON), Treatment::Alone);
 }
@@ -125,9 +125,9 @@
 #[test]
 fn a_record_from_before_a_response_is_ignored() {
     let mut table = quarantined();
-    let late = table.wide(ms(400));
+    let late = table.wide_records(ms(400));
     table.on_answer(ms(30_400), POISON);
-    assert!(!table.on_word(ms(31_000), &late[0]));
+    assert!(!table.on_record(ms(31_000), &late[0]));
     assert_eq!(table.treatment(ms(31_000), POISON), Treatment::Clear);
 }
 
@@ -136,9 +136,9 @@
     let (mut one, mut other) = (quarantined(), Suspects::default());
     for round in 1..=100 {
         // Each message takes 50 ms, which the ages in it do not include.
-        let records = one.wide(ms(300 + round * 100));
+        let records = one.wide_records(ms(300 + round * 100));
         merge(&mut other, ms(350 + round * 100), &records);
-        let records = other.wide(ms(350 + round * 100));
+        let records = other.wide_records(ms(350 + round * 100));
         merge(&mut one, ms(400 + round * 100), &records);
     }
     assert_eq!(one.treatment(ms(30_300), POISON), Treatment::Alone);
@@ -147,18 +147,18 @@
 #[test]
 fn expired_entries_are_removed() {
     let mut table = quarantined();
-    table.on_end(ms(300), &crash(4, &[sent(2, false)]));
-    table.tick(ms(3_600 * SECOND));
+    table.on_crash(ms(300), &crash(4, &[sent(2, false)]));
+    table.expire(ms(3_600 * SECOND));
     assert_eq!(table.len(), 2);
-    table.tick(ms(3_601 * SECOND));
+    table.expire(ms(3_601 * SECOND));
     assert_eq!(table.len(), 1);
-    table.tick(ms(24 * 3_600 * SECOND));
+    table.expire(ms(24 * 3_600 * SECOND));
     assert_eq!(table.len(), 1);
-    table.tick(ms(24 * 3_600 * SECOND + SECOND));
+    table.expire(ms(24 * 3_600 * SECOND + SECOND));
     assert!(table.is_empty());
     // Nor is an expired record of another daemon merged.
-    let record = quarantined().wide(ms(25 * 3_600 * SECOND));
-    assert!(!table.on_word(ms(25 * 3_600 * SECOND), &record[0]));
+    let record = quarantined().wide_records(ms(25 * 3_600 * SECOND));
+    assert!(!table.on_record(ms(25 * 3_600 * SECOND), &record[0]));
 }
 
 /// A caller sends many different requests, all in flight when servers crash.
@@ -168,8 +168,8 @@
     let generated = (10_u64..).map(|n| SentRequest { identity: identity(n, 66), alone: false });
     let generated: Vec<SentRequest> = generated.take(3 * MAX_ENTRIES).collect();
     for (end, in_flight) in generated.chunks(12).enumerate() {
-        table.on_end(ms(400), &crash(1_000 + end as u64, in_flight));
-        table.on_end(ms(400), &crash(9_000 + end as u64, in_flight));
+        table.on_crash(ms(400), &crash(1_000 + end as u64, in_flight));
+        table.on_crash(ms(400), &crash(9_000 + end as u64, in_flight));
         assert!(table.len() <= MAX_ENTRIES);
     }
     assert!(matches!(table.treatment(ms(500), POISON), Treatment::HeldBack(_)));
@@ -179,9 +179,9 @@
 fn records_of_other_daemons_are_bounded() {
     let mut table = quarantined();
     let generated =
-        |n| Record { request: Fingerprint(n), ..quarantined().wide(ms(400))[0].clone() };
+        |n| Record { request: Fingerprint(n), ..quarantined().wide_records(ms(400))[0].clone() };
     for n in 10..(10 + 2 * MAX_ENTRIES as u64) {
-        table.on_word(ms(400), &generated(n));
+        table.on_record(ms(400), &generated(n));
     }
     assert_eq!(table.len(), MAX_ENTRIES);
 }
--- a/crates/cherrystream-core/tests/suspects/world.rs
+++ b/crates/cherrystream-core/tests/suspects/world.rs
@@ -163,7 +163,7 @@
         let crash = known.or_else(|| host.detector.on_crash(now, id));
         // The restarted server is another instance.
         host.detector = CrashDetector::default();
-        let news = crash.map(|crash| host.table.on_end(now, &crash)).unwrap_or_default();
+        let news = crash.map(|crash| host.table.on_crash(now, &crash)).unwrap_or_default();
         self.announce(u, at, news)
     }
 
@@ -188,7 +188,7 @@
             return;
         }
         for (from, to) in [(one, other), (other, one)] {
-            let records = self.hosts[from].table.wide(now);
+            let records = self.hosts[from].table.wide_records(now);
             merge(&mut self.hosts[to].table, now, &records);
         }
     }
@@ -323,7 +323,7 @@
         }
         let now = ms(world.now);
         let mut records: Vec<Record> =
-            world.hosts.iter().flat_map(|host| host.table.wide(now)).collect();
+            world.hosts.iter().flat_map(|host| host.table.wide_records(now)).collect();
         let mut one = Suspects::default();
         merge(&mut one, now, &records);
         records.reverse();
--- a/crates/cherrystream-daemon/src/suspects/mod.rs
+++ b/crates/cherrystream-daemon/src/suspects/mod.rs
@@ -72,7 +72,7 @@
     /// Clears a request, as an operator wants it; returns whether it was known.
     pub fn lift(self: &Arc<Self>, request: Fingerprint) -> bool {
         let now = self.tools.clock.now();
-        let news = self.table.lock().lift(now, request);
+        let news = self.table.lock().clear(now, request);
         let Some((_, record)) = news else { return false };
         log::info!("suspect: mark={request} standing=clear by=operator");
         // The operator may have asked a daemon of another service.
@@ -99,7 +99,7 @@
     fn on_end(self: &Arc<Self>, door: &Door, ended: &Crash) {
         self.tools.metrics.ends_at_work.inc();
         let now = self.tools.clock.now();
-        let news = self.table.lock().on_end(now, ended);
+        let news = self.table.lock().on_crash(now, ended);
         for (_, record) in &news {
             self.log_end(now, door, ended, record);
         }
--- a/crates/cherrystream-daemon/src/suspects/telling.rs
+++ b/crates/cherrystream-daemon/src/suspects/telling.rs
@@ -27,8 +27,8 @@
         for round in 0.. {
             tokio::time::sleep(DIGEST_EVERY).await;
             let mut table = self.table.lock();
-            table.tick(self.tools.clock.now());
-            let knows = table.has_wide();
+            table.expire(self.tools.clock.now());
+            let knows = table.has_wide_records();
             drop(table);
             self.show();
             if knows {
@@ -65,7 +65,7 @@
         if told.digest == digest {
             return;
         }
-        let known = self.table.lock().wide(self.tools.clock.now());
+        let known = self.table.lock().wide_records(self.tools.clock.now());
         let lacks = |record: &Record| !told.records.iter().any(|other| says_same(record, other));
         let records: Vec<Record> = known.into_iter().filter(lacks).collect();
         if !records.is_empty() {
@@ -80,7 +80,7 @@
         let table = self.table.lock();
         let digest = table.digest();
         let records = match message.digest {
-            Some(theirs) if theirs != digest => table.wide(self.tools.clock.now()),
+            Some(theirs) if theirs != digest => table.wide_records(self.tools.clock.now()),
             _ => Vec::new(),
         };
         drop(table);
@@ -92,7 +92,7 @@
         let now = self.tools.clock.now();
         let mut table = self.table.lock();
         let news: Vec<Record> =
-            records.iter().filter(|record| table.on_word(now, record)).cloned().collect();
+            records.iter().filter(|record| table.on_record(now, record)).cloned().collect();
         drop(table);
         let wide: Vec<Record> = news.into_iter().filter(|record| record.wide).collect();
         if !wide.is_empty() {
