--- a/crates/cherrystream-control/src/role.rs
+++ b/crates/cherrystream-control/src/role.rs
@@ -19,7 +19,7 @@
 use crate::rollouts::{self, Rollouts};
 use crate::rpc_server::{LedgerLimits, RpcServer};
 use cherrystream_core::raft::asking::Asking;
-use cherrystream_core::rollout::conductor::Limits;
+use cherrystream_core::rollout::controller::Limits;
 use cherrystream_net::interface::OrderInterface;
 use cherrystream_net::key::Secret;
 use cherrystream_net::serve::{self, Phases};
--- a/crates/cherrystream-control/src/rollouts.rs
+++ b/crates/cherrystream-control/src/rollouts.rs
@@ -5,7 +5,7 @@
 use crate::peers::Line;
 use crate::registrar::Registrar;
 use cherrystream_core::rollout;
-use cherrystream_core::rollout::conductor::{Conductor, Limits, Moment};
+use cherrystream_core::rollout::controller::{Controller, Limits, Moment};
 use cherrystream_net::clock;
 use cherrystream_net::rpc::ControlRpcClient;
 use cherrystream_schema::messages::{Change, HostTally};
@@ -22,7 +22,7 @@
 /// The roll-outs that are under way, as this replica follows them.
 #[derive(Clone)]
 pub struct Rollouts {
-    conductor: Arc<Mutex<Conductor>>,
+    conductor: Arc<Mutex<Controller>>,
     /// Counts of daemons that were heard here and are not told to the leader yet. Taken with no other lock.
     heard: Arc<Mutex<BTreeMap<String, HostTally>>>,
 }
@@ -42,7 +42,7 @@
 impl Rollouts {
     /// Creates the roll-outs of a replica.
     pub fn new(limits: Limits) -> Rollouts {
-        let conductor = Arc::new(Mutex::new(Conductor::new(limits)));
+        let conductor = Arc::new(Mutex::new(Controller::new(limits)));
         Rollouts { conductor, heard: Arc::default() }
     }
 
--- a/crates/cherrystream-core/src/rollout/conductor.rs
+++ b/crates/cherrystream-core/src/rollout/controller.rs
@@ -63,7 +63,7 @@
 
 /// Controls the roll-outs in progress.
 #[derive(Debug, Default)]
-pub struct Conductor {
+pub struct Controller {
     limits: Limits,
     active: BTreeMap<String, ActiveRollout>,
 }
@@ -95,10 +95,10 @@
     kinds: BTreeMap<String, KindTally>,
 }
 
-impl Conductor {
+impl Controller {
     /// Creates a controller without roll-outs.
-    pub fn new(limits: Limits) -> Conductor {
-        Conductor { limits, active: BTreeMap::new() }
+    pub fn new(limits: Limits) -> Controller {
+        Controller { limits, active: BTreeMap::new() }
     }
 
     /// Handles the counts of a daemon. They are cumulative, so repeated reports count once.
--- a/crates/cherrystream-core/src/rollout/mod.rs
+++ b/crates/cherrystream-core/src/rollout/mod.rs
@@ -2,12 +2,12 @@
 //! version, and back if it is worse than the old versions.
 //!
 //! The request of the operator and each step are in the replicated log. The leader of control
-//! decides the steps from counts of the daemons beside the backend servers ([`conductor`],
+//! decides the steps from counts of the daemons beside the backend servers ([`controller`],
 //! [`evaluation`]). Outbounds send the canary the share of requests that the step allows. Inbounds
 //! refuse the rest, and stop admitting requests to the canary when control is silent or most
 //! responses fail ([`guard`]).
 
-pub mod conductor;
+pub mod controller;
 pub mod evaluation;
 pub mod guard;
 pub mod plan;
--- a/crates/cherrystream-core/src/suspects/ring.rs
+++ b/crates/cherrystream-core/src/suspects/ring.rs
@@ -1,4 +1,4 @@
-//! Selection of the peers to which a daemon sends records, such that records audience all daemons.
+//! Selection of the peers to which a daemon sends records, such that records reach all daemons.
 //!
 //! Hosts are ordered on a ring by their hashes. Each daemon sends to the hosts 1, 2, 4, 8 and so on
 //! positions ahead and forwards the records that are new to it. A record reaches all of n hosts
--- a/crates/cherrystream-core/tests/rollouts/plays.rs
+++ b/crates/cherrystream-core/tests/rollouts/plays.rs
@@ -2,7 +2,7 @@
 //! exposure limit.
 
 use crate::world::{self, Outcome, Simulation, Version};
-use cherrystream_core::rollout::conductor::Limits;
+use cherrystream_core::rollout::controller::Limits;
 use cherrystream_schema::messages::RolloutStage;
 use std::time::Duration;
 
--- a/crates/cherrystream-core/tests/rollouts/world.rs
+++ b/crates/cherrystream-core/tests/rollouts/world.rs
@@ -1,7 +1,7 @@
 //! Simulation of a roll-out without a network: a service with two versions, its daemons, and a
 //! leader of control. Counts and steps are delayed, and leaders change.
 
-use cherrystream_core::rollout::conductor::{Conductor, Limits, Moment};
+use cherrystream_core::rollout::controller::{Controller, Limits, Moment};
 use cherrystream_core::rollout::guard::{Guard, Word};
 use cherrystream_core::rollout::tally::{Answer, Counts};
 use cherrystream_core::rollout::{self, Part};
@@ -92,7 +92,7 @@
     in_transit: VecDeque<(Timestamp, Shared)>,
     held: Shared,
     lease: Word,
-    conductor: Conductor,
+    controller: Controller,
     was_leading: bool,
     pending: Vec<(Timestamp, Change)>,
     exposed: u64,
@@ -159,7 +159,7 @@
             committed,
             in_transit: VecDeque::new(),
             lease: Word::default(),
-            conductor: Conductor::new(Limits::default()),
+            controller: Controller::new(Limits::default()),
             was_leading: true,
             pending: Vec::new(),
             exposed: 0,
@@ -303,11 +303,11 @@
         }
         if !std::mem::replace(&mut self.was_leading, true) {
             // The new leader follows the log and receives all counts again.
-            self.conductor = Conductor::new(Limits::default());
+            self.controller = Controller::new(Limits::default());
         }
         if self.is_every(CONTROL_INTERVAL) {
             let unix_ms = self.now.since(Timestamp::default()).as_millis() as u64;
-            let due = self.conductor.decide(Moment { now: self.now, unix_ms }, &self.committed);
+            let due = self.controller.decide(Moment { now: self.now, unix_ms }, &self.committed);
             let at = self.now + STEP_DELAY / 2;
             self.pending.extend(due.into_iter().map(|change| (at, change)));
         }
@@ -331,9 +331,9 @@
                 kinds: server.counts.by_kind(),
             };
             let report = HostTally { host: server.host.clone(), incarnation: 1, tally };
-            self.conductor.on_tally(self.now, &report);
+            self.controller.on_tally(self.now, &report);
             // A repeated report counts once.
-            self.conductor.on_tally(self.now, &report);
+            self.controller.on_tally(self.now, &report);
         }
     }
 }
