--- a/crates/cherrystream-core/src/rollout/guard.rs
+++ b/crates/cherrystream-core/src/rollout/guard.rs
@@ -13,13 +13,13 @@
 /// Circuit breaker of a canary backend server. Opens when most responses fail, also while control
 /// has no leader.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Guard {
+pub struct CircuitBreaker {
     /// Failures not yet offset, in units of one successful response.
     debt: u32,
     open_until: Option<Timestamp>,
 }
 
-impl Guard {
+impl CircuitBreaker {
     /// Records a response.
     pub fn on_answer(&mut self, now: Timestamp, failed: bool) {
         self.debt = match failed {
@@ -34,7 +34,7 @@
     }
 
     /// Returns whether requests are refused.
-    pub fn is_stopped(&self, now: Timestamp) -> bool {
+    pub fn is_open(&self, now: Timestamp) -> bool {
         self.open_until.is_some_and(|until| now < until)
     }
 }
@@ -42,16 +42,16 @@
 /// Lease granted by control that allows a canary to get requests. Without it, a regression of the
 /// canary could go undetected, so the inbound refuses requests to it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Word(Option<Timestamp>);
+pub struct CanaryLease(Option<Timestamp>);
 
-impl Word {
+impl CanaryLease {
     /// Extends the lease until a time.
-    pub fn hear(&mut self, until: Timestamp) {
+    pub fn extend(&mut self, until: Timestamp) {
         self.0 = self.0.max(Some(until));
     }
 
     /// Returns whether the lease is valid.
-    pub fn holds(&self, now: Timestamp) -> bool {
+    pub fn is_valid(&self, now: Timestamp) -> bool {
         self.0.is_some_and(|until| now < until)
     }
 }
--- a/crates/cherrystream-core/tests/rollouts/world.rs
+++ b/crates/cherrystream-core/tests/rollouts/world.rs
@@ -2,7 +2,7 @@
 //! leader of control. Counts and steps are delayed, and leaders change.
 
 use cherrystream_core::rollout::controller::{Controller, Limits, Moment};
-use cherrystream_core::rollout::guard::{Guard, Word};
+use cherrystream_core::rollout::guard::{CanaryLease, CircuitBreaker};
 use cherrystream_core::rollout::tally::{Answer, Counts};
 use cherrystream_core::rollout::{self, Part};
 use cherrystream_core::shared;
@@ -77,7 +77,7 @@
 struct Server {
     host: String,
     is_canary: bool,
-    guard: Guard,
+    breaker: CircuitBreaker,
     counts: Counts,
     at_work: Vec<(Timestamp, Timestamp, bool)>,
 }
@@ -91,7 +91,7 @@
     /// States in transit to the daemons.
     in_transit: VecDeque<(Timestamp, Shared)>,
     held: Shared,
-    lease: Word,
+    lease: CanaryLease,
     controller: Controller,
     was_leading: bool,
     pending: Vec<(Timestamp, Change)>,
@@ -140,8 +140,8 @@
                 version: version.into(),
             };
             shared::apply(&mut committed, &Change::PutInstance { host: host.clone(), instance });
-            let (guard, counts) = (Guard::default(), Counts::default());
-            servers.push(Server { host, is_canary, guard, counts, at_work: Vec::new() });
+            let (breaker, counts) = (CircuitBreaker::default(), Counts::default());
+            servers.push(Server { host, is_canary, breaker, counts, at_work: Vec::new() });
         }
         let intent = Intent::StartRollout {
             service: "s".into(),
@@ -158,7 +158,7 @@
             held: committed.clone(),
             committed,
             in_transit: VecDeque::new(),
-            lease: Word::default(),
+            lease: CanaryLease::default(),
             controller: Controller::new(Limits::default()),
             was_leading: true,
             pending: Vec::new(),
@@ -215,7 +215,7 @@
             }
         }
         if self.has_leader() {
-            self.lease.hear(now + LEASE_TIME);
+            self.lease.extend(now + LEASE_TIME);
         }
     }
 
@@ -229,7 +229,7 @@
             for (began, ends, failed) in done {
                 let took = ends.since(began);
                 server.counts.on_answer(&kind, Answer { failed, took: Some(took) });
-                server.guard.on_answer(now, failed);
+                server.breaker.on_answer(now, failed);
                 if server.is_canary && (failed || took.as_secs_f64() > 2.0 * SERVICE_TIME_S) {
                     self.bad += 1;
                     if self.bad == 50 {
@@ -274,8 +274,8 @@
 
     fn admits(&self, server: usize, rollout: &cherrystream_schema::messages::Rollout) -> bool {
         let trying = rollout.stage == RolloutStage::Trying;
-        let is_leased = !trying || self.lease.holds(self.now);
-        is_leased && !self.servers[server].guard.is_stopped(self.now)
+        let is_leased = !trying || self.lease.is_valid(self.now);
+        is_leased && !self.servers[server].breaker.is_open(self.now)
     }
 
     fn run(&mut self, server: usize) {
--- a/crates/cherrystream-daemon/src/door/trial.rs
+++ b/crates/cherrystream-daemon/src/door/trial.rs
@@ -1,7 +1,7 @@
 //! What a door keeps for the roll-out of its service: counts of answers, and its own stop.
 
 use super::permit::{Ending, Work};
-use cherrystream_core::rollout::guard::Guard;
+use cherrystream_core::rollout::guard::CircuitBreaker;
 use cherrystream_core::rollout::tally::{Answer, Counts};
 use cherrystream_core::units::Timestamp;
 use cherrystream_schema::messages::KindTally;
@@ -17,7 +17,7 @@
     /// Unix milliseconds of its order; `None` while none is under way, and nothing is counted.
     started_at_ms: Option<u64>,
     counts: Counts,
-    guard: Guard,
+    guard: CircuitBreaker,
 }
 
 impl TrialRecord {
@@ -46,7 +46,7 @@
 
     /// Returns whether the door has stopped by itself.
     pub(super) fn is_stopped(&self, now: Timestamp) -> bool {
-        self.guard.is_stopped(now)
+        self.guard.is_open(now)
     }
 
     /// Returns the time of the order and the counts since; `None` while no roll-out is under way.
--- a/crates/cherrystream-daemon/src/held.rs
+++ b/crates/cherrystream-daemon/src/held.rs
@@ -1,6 +1,6 @@
 //! The shared state that this daemon holds. It never goes back to an earlier revision.
 
-use cherrystream_core::rollout::guard::Word;
+use cherrystream_core::rollout::guard::CanaryLease;
 use cherrystream_core::shared;
 use cherrystream_core::units::{Revision, Timestamp};
 use cherrystream_schema::messages::{Change, RouteTable, Shared, Update};
@@ -49,7 +49,7 @@
     now: RwLock<Held>,
     tx: watch::Sender<Revision>,
     /// Until when the word of control holds. Taken with no other lock.
-    word: Mutex<Word>,
+    word: Mutex<CanaryLease>,
 }
 
 impl Default for HeldCell {
@@ -82,12 +82,12 @@
 
     /// Takes a word of control that what is held here is the newest, as far as that matters for a trial, until a time.
     pub fn hear_word(&self, until: Timestamp) {
-        self.word.lock().hear(until);
+        self.word.lock().extend(until);
     }
 
     /// Returns whether control vouches for what is held.
     pub fn is_vouched_for(&self, now: Timestamp) -> bool {
-        self.word.lock().holds(now)
+        self.word.lock().is_valid(now)
     }
 
     /// Takes an update; returns whether it was newer than what was held.
