--- a/crates/cherrystream-core/src/rollout/mod.rs
+++ b/crates/cherrystream-core/src/rollout/mod.rs
@@ -23,11 +23,11 @@
 
 /// The requests that a roll-out allows for a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Exposure {
     /// Not restricted.
-    Any,
+    Unrestricted,
     /// Canary: limited to the current exposure.
-    Trial {
+    Canary {
         /// Thousandths of the requests of the service.
         exposure_milli: u32,
     },
@@ -36,19 +36,19 @@
 }
 
 /// Returns the requests that a roll-out allows for a version.
-pub fn part(rollout: Option<&Rollout>, version: &str) -> Part {
-    let Some(rollout) = rollout else { return Part::Any };
+pub fn exposure(rollout: Option<&Rollout>, version: &str) -> Exposure {
+    let Some(rollout) = rollout else { return Exposure::Unrestricted };
     if version == rollout.version {
         return match rollout.stage {
-            RolloutStage::Trying => Part::Trial { exposure_milli: rollout.exposure_milli },
-            RolloutStage::Moving | RolloutStage::Completed => Part::Any,
-            RolloutStage::RolledBack => Part::Closed,
+            RolloutStage::Trying => Exposure::Canary { exposure_milli: rollout.exposure_milli },
+            RolloutStage::Moving | RolloutStage::Completed => Exposure::Unrestricted,
+            RolloutStage::RolledBack => Exposure::Closed,
         };
     }
     let replaced = matches!(rollout.stage, RolloutStage::Moving | RolloutStage::Completed);
     match contains(&rollout.held_back, version) || replaced && contains(&rollout.old, version) {
-        true => Part::Closed,
-        false => Part::Any,
+        true => Exposure::Closed,
+        false => Exposure::Unrestricted,
     }
 }
 
--- a/crates/cherrystream-core/tests/rollouts/state.rs
+++ b/crates/cherrystream-core/tests/rollouts/state.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbtest;
 use cherrystream_core::plan;
-use cherrystream_core::rollout::{self, Part};
+use cherrystream_core::rollout::{self, Exposure};
 use cherrystream_core::state::ControlState;
 use cherrystream_schema::messages::{
     Change, Command, Entry, Instance, Intent, Plan, RequestLimits, RolloutStage, RouteTable,
@@ -83,8 +83,8 @@
         self.state.shared().config.rollouts["s"].stage
     }
 
-    fn part(&self, version: &str) -> Part {
-        rollout::part(self.state.shared().config.rollouts.get("s"), version)
+    fn exposure(&self, version: &str) -> Exposure {
+        rollout::exposure(self.state.shared().config.rollouts.get("s"), version)
     }
 }
 
@@ -197,16 +197,16 @@
     let mut log = two_versions();
     log.start("v2", 1_000);
     log.step(RolloutStage::RolledBack, 0);
-    assert_eq!(log.part("v2"), Part::Closed);
+    assert_eq!(log.exposure("v2"), Exposure::Closed);
     log.report("d", "v2", 1);
     log.report("e", "v3", 1);
     log.start("v3", 60_000);
-    assert_eq!(log.part("v2"), Part::Closed, "another roll-out does not restore it");
+    assert_eq!(log.exposure("v2"), Exposure::Closed, "another roll-out does not restore it");
     log.step(RolloutStage::Completed, 1_000);
-    assert_eq!(log.part("v2"), Part::Closed);
-    assert_eq!(log.part("v3"), Part::Any);
+    assert_eq!(log.exposure("v2"), Exposure::Closed);
+    assert_eq!(log.exposure("v3"), Exposure::Unrestricted);
     log.start("v2", 120_000);
-    assert_eq!(log.part("v2"), Part::Trial { exposure_milli: 0 });
+    assert_eq!(log.exposure("v2"), Exposure::Canary { exposure_milli: 0 });
 }
 
 #[test]
@@ -214,15 +214,15 @@
     let mut log = two_versions();
     log.start("v2", 1_000);
     log.step(RolloutStage::Trying, 20);
-    assert_eq!(log.part("v1"), Part::Any);
+    assert_eq!(log.exposure("v1"), Exposure::Unrestricted);
     log.step(RolloutStage::Moving, 1_000);
-    assert_eq!(log.part("v1"), Part::Closed);
+    assert_eq!(log.exposure("v1"), Exposure::Closed);
     log.step(RolloutStage::Trying, 20);
     assert_eq!(log.stage(), RolloutStage::Moving, "no step leads back to trying");
     log.step(RolloutStage::Completed, 1_000);
-    assert_eq!(log.part("v1"), Part::Closed);
+    assert_eq!(log.exposure("v1"), Exposure::Closed);
     log.report("a", "v1", 2);
-    assert_eq!(log.part("v1"), Part::Any, "the old version was started again");
+    assert_eq!(log.exposure("v1"), Exposure::Unrestricted, "the old version was started again");
 }
 
 /// Random order of requests, steps, stops, new instances and restores from snapshots: a finished
--- a/crates/cherrystream-core/tests/rollouts/world.rs
+++ b/crates/cherrystream-core/tests/rollouts/world.rs
@@ -4,7 +4,7 @@
 use cherrystream_core::rollout::controller::{Controller, Limits, Moment};
 use cherrystream_core::rollout::guard::{CanaryLease, CircuitBreaker};
 use cherrystream_core::rollout::tally::{Answer, Counts};
-use cherrystream_core::rollout::{self, Part};
+use cherrystream_core::rollout::{self, Exposure};
 use cherrystream_core::shared;
 use cherrystream_core::units::Timestamp;
 use cherrystream_schema::messages::{
@@ -244,12 +244,12 @@
     fn request(&mut self) {
         self.all += 1;
         let rollout = self.held.config.rollouts["s"].clone();
-        let to_canary = match rollout::part(Some(&rollout), "v2") {
-            Part::Trial { exposure_milli } => {
+        let to_canary = match rollout::exposure(Some(&rollout), "v2") {
+            Exposure::Canary { exposure_milli } => {
                 self.rng.random::<f64>() < f64::from(exposure_milli) / 1_000.0
             }
-            Part::Any => true,
-            Part::Closed => false,
+            Exposure::Unrestricted => true,
+            Exposure::Closed => false,
         };
         let servers = self.simulation.servers;
         if to_canary {
--- a/crates/cherrystream-daemon/src/outbound/trials.rs
+++ b/crates/cherrystream-daemon/src/outbound/trials.rs
@@ -3,7 +3,7 @@
 use super::request::Call;
 use super::{Choosing, Outbound};
 use cherrystream_core::choose::{self, ServerId, Table};
-use cherrystream_core::rollout::{self, Part};
+use cherrystream_core::rollout::{self, Exposure};
 use cherrystream_core::units::Timestamp;
 use cherrystream_schema::messages::{Rollout, Shared};
 use cherrystream_schema::settings::ChoicePolicy;
@@ -98,10 +98,10 @@
     let mut exposure = 0.0;
     ids.retain(|id| {
         let version = version_of(shared, id);
-        match rollout::part(Some(rollout), version) {
-            Part::Any => true,
-            Part::Closed => !is_there && !rollout::is_held_back(Some(rollout), version),
-            Part::Trial { exposure_milli } => {
+        match rollout::exposure(Some(rollout), version) {
+            Exposure::Unrestricted => true,
+            Exposure::Closed => !is_there && !rollout::is_held_back(Some(rollout), version),
+            Exposure::Canary { exposure_milli } => {
                 exposure = f64::from(exposure_milli) / 1_000.0;
                 tried.push(id.clone());
                 false
