--- a/crates/cherrystream-control/src/rollouts.rs
+++ b/crates/cherrystream-control/src/rollouts.rs
@@ -79,7 +79,7 @@
 
     fn is_any_under_way(&self, handle: &Handle) -> bool {
         let state = handle.state.read();
-        state.shared().config.rollouts.values().any(rollout::is_under_way)
+        state.shared().config.rollouts.values().any(rollout::is_in_progress)
     }
 
     async fn bring_counts(&self, tools: &Tools) {
--- a/crates/cherrystream-core/src/rollout/controller.rs
+++ b/crates/cherrystream-core/src/rollout/controller.rs
@@ -7,7 +7,7 @@
 
 use super::evaluation::Evaluator;
 use super::tally::CountsDelta;
-use super::{is_under_way, live};
+use super::{is_in_progress, live};
 use crate::units::Timestamp;
 use cherrystream_schema::messages::{
     Change, HostTally, KindTally, Rollout, RolloutStage, Shared, VersionTally,
@@ -114,7 +114,7 @@
     pub fn decide(&mut self, at: Moment, shared: &Shared) -> Vec<Change> {
         let known = &shared.config.rollouts;
         let is_current = |service: &String, active: &mut ActiveRollout| {
-            known.get(service).is_some_and(|r| is_under_way(r) && active.is_of(r))
+            known.get(service).is_some_and(|r| is_in_progress(r) && active.is_of(r))
         };
         self.active.retain(is_current);
         let due = |(service, rollout): (&String, &Rollout)| {
@@ -124,7 +124,7 @@
             let step = active.decide(at.now, rollout, slots, self.limits)?;
             Some(step.change(service, rollout))
         };
-        known.iter().filter(|(_, rollout)| is_under_way(rollout)).filter_map(due).collect()
+        known.iter().filter(|(_, rollout)| is_in_progress(rollout)).filter_map(due).collect()
     }
 }
 
--- a/crates/cherrystream-core/src/rollout/mod.rs
+++ b/crates/cherrystream-core/src/rollout/mod.rs
@@ -60,13 +60,13 @@
 }
 
 /// Returns whether a roll-out is neither completed nor rolled back.
-pub fn is_under_way(rollout: &Rollout) -> bool {
+pub fn is_in_progress(rollout: &Rollout) -> bool {
     matches!(rollout.stage, RolloutStage::Trying | RolloutStage::Moving)
 }
 
 /// Returns whether the last roll-out of a service is neither completed nor rolled back.
-pub fn is_under_way_for(shared: &Shared, service: &str) -> bool {
-    shared.config.rollouts.get(service).is_some_and(is_under_way)
+pub fn is_in_progress_for(shared: &Shared, service: &str) -> bool {
+    shared.config.rollouts.get(service).is_some_and(is_in_progress)
 }
 
 fn contains(sorted: &[String], version: &str) -> bool {
@@ -148,7 +148,7 @@
 
 /// Rolls back a roll-out that is in progress.
 pub(crate) fn stop(shared: &mut Shared, service: &str) {
-    if let Some(rollout) = shared.config.rollouts.get_mut(service).filter(|r| is_under_way(r)) {
+    if let Some(rollout) = shared.config.rollouts.get_mut(service).filter(|r| is_in_progress(r)) {
         rollout.stage = RolloutStage::RolledBack;
         rollout.exposure_milli = 0;
         rollout.reason = "stopped by an operator".into();
@@ -164,7 +164,7 @@
     };
     let meant = |r: &&mut Rollout| r.version == *version && r.started_at_ms == *started_at_ms;
     let known = shared.config.rollouts.get_mut(service).filter(meant);
-    let Some(rollout) = known.filter(|rollout| is_under_way(rollout)) else { return };
+    let Some(rollout) = known.filter(|rollout| is_in_progress(rollout)) else { return };
     // Old backend servers stop once the roll-out is completed, so it cannot be reverted. Nor does a
     // step lead from moving back to trying.
     if rollout.stage == RolloutStage::Moving && *stage == RolloutStage::Trying {
--- a/crates/cherrystream-core/src/rollout/plan.rs
+++ b/crates/cherrystream-core/src/rollout/plan.rs
@@ -1,6 +1,6 @@
 //! Validation and preview of operator intents about roll-outs.
 
-use super::{Meets, Order, is_under_way, knows_service, live};
+use super::{Meets, Order, is_in_progress, knows_service, live};
 use crate::errors::{self, Result};
 use cherrystream_schema::messages::{Intent, Shared};
 
@@ -24,7 +24,7 @@
             check_start(shared, &Order { service, version, within_ms: *within_ms, at_ms })
         }
         Intent::StopRollout { service } => match shared.config.rollouts.get(service) {
-            Some(rollout) if is_under_way(rollout) => Ok(()),
+            Some(rollout) if is_in_progress(rollout) => Ok(()),
             _ => errors::missing(
                 "roll-out in progress of service",
                 service,
--- a/crates/cherrystream-core/tests/rollouts/state.rs
+++ b/crates/cherrystream-core/tests/rollouts/state.rs
@@ -260,7 +260,7 @@
             }
             let Some(before) = before else { continue };
             let after = &log.state.shared().config.rollouts["s"];
-            if after.started_at_ms == before.started_at_ms && !rollout::is_under_way(&before) {
+            if after.started_at_ms == before.started_at_ms && !rollout::is_in_progress(&before) {
                 assert_eq!(after.stage, before.stage, "a finished roll-out keeps its stage");
             }
             for version in versions {
--- a/crates/cherrystream-daemon/src/doors.rs
+++ b/crates/cherrystream-daemon/src/doors.rs
@@ -190,7 +190,7 @@
     fn follow_rollouts(&self, held: &Held) {
         let Some(door) = self.instance() else { return };
         let known = held.shared.config.rollouts.get(&*door.id.service);
-        let under_way = known.filter(|rollout| rollout::is_under_way(rollout));
+        let under_way = known.filter(|rollout| rollout::is_in_progress(rollout));
         door.follow_rollout(under_way.map(|rollout| rollout.started_at_ms));
     }
 
--- a/crates/cherrystream-daemon/src/inbound/mod.rs
+++ b/crates/cherrystream-daemon/src/inbound/mod.rs
@@ -231,7 +231,7 @@
         if rollout::is_held_back(Some(rollout), &door.version) {
             return Some(Reason::VersionHeldBack);
         }
-        let new = rollout::is_under_way(rollout) && *door.version == *rollout.version;
+        let new = rollout::is_in_progress(rollout) && *door.version == *rollout.version;
         if !new {
             return None;
         }
