--- a/crates/cherrystream-core/src/rollout/controller.rs
+++ b/crates/cherrystream-core/src/rollout/controller.rs
@@ -7,7 +7,7 @@
 
 use super::evaluation::Evaluator;
 use super::tally::CountsDelta;
-use super::{is_in_progress, live};
+use super::{is_in_progress, live_instances};
 use crate::units::Timestamp;
 use cherrystream_schema::messages::{
     Change, HostTally, KindTally, Rollout, RolloutStage, Shared, VersionTally,
@@ -161,7 +161,7 @@
 impl Slots {
     fn of(shared: &Shared, service: &str, rollout: &Rollout) -> Slots {
         let mut slots = Slots::default();
-        for instance in live(shared, service) {
+        for instance in live_instances(shared, service) {
             match instance.version == rollout.version {
                 true => slots.canary += instance.slots,
                 false => slots.old += instance.slots,
--- a/crates/cherrystream-core/src/rollout/mod.rs
+++ b/crates/cherrystream-core/src/rollout/mod.rs
@@ -123,7 +123,7 @@
     held_back.remove(order.version);
     let others = |i: &&Instance| i.version != order.version && !held_back.contains(&i.version);
     let old: BTreeSet<String> =
-        live(shared, order.service).filter(others).map(|i| i.version.clone()).collect();
+        live_instances(shared, order.service).filter(others).map(|i| i.version.clone()).collect();
     let rollout = Rollout {
         version: order.version.into(),
         old: old.into_iter().filter(|version| !version.is_empty()).collect(),
@@ -176,7 +176,7 @@
 }
 
 /// Handles a new instance: a replaced version that is started again gets requests again.
-pub(crate) fn on_new_run(shared: &mut Shared, instance: &Instance) {
+pub(crate) fn on_new_instance(shared: &mut Shared, instance: &Instance) {
     let completed = |r: &&mut Rollout| r.stage == RolloutStage::Completed;
     if let Some(rollout) = shared.config.rollouts.get_mut(&instance.service).filter(completed) {
         rollout.old.retain(|version| *version != instance.version);
@@ -184,14 +184,17 @@
 }
 
 /// Returns the live instances of a service, without those on hosts taken out of service.
-pub fn live<'a>(shared: &'a Shared, service: &'a str) -> impl Iterator<Item = &'a Instance> {
+pub fn live_instances<'a>(
+    shared: &'a Shared,
+    service: &'a str,
+) -> impl Iterator<Item = &'a Instance> {
     let is_live = move |i: &Instance| i.state == ServerState::Live && i.service == service;
     let here = shared.instances.iter().filter(move |(_, record)| is_live(&record.instance));
     here.filter(|(host, _)| !shared::is_out(shared, host)).map(|(_, record)| &record.instance)
 }
 
 /// Returns whether a service is configured.
-pub fn knows_service(shared: &Shared, service: &str) -> bool {
+pub fn has_service(shared: &Shared, service: &str) -> bool {
     let routed = shared.routes.as_ref().is_some_and(|table| table.services.contains_key(service));
     routed || shared.config.services.contains_key(service)
 }
--- a/crates/cherrystream-core/src/rollout/plan.rs
+++ b/crates/cherrystream-core/src/rollout/plan.rs
@@ -1,6 +1,6 @@
 //! Validation and preview of operator intents about roll-outs.
 
-use super::{Meets, Order, is_in_progress, knows_service, live};
+use super::{Meets, Order, has_service, is_in_progress, live_instances};
 use crate::errors::{self, Result};
 use cherrystream_schema::messages::{Intent, Shared};
 
@@ -36,7 +36,7 @@
 }
 
 fn check_start(shared: &Shared, order: &Order<'_>) -> Result<()> {
-    if !knows_service(shared, order.service) {
+    if !has_service(shared, order.service) {
         return errors::missing("service", order.service, "list the services with `config`");
     }
     if order.version.is_empty() || order.version.len() > MAX_VERSION_BYTES {
@@ -65,8 +65,8 @@
     let Intent::StartRollout { service, version, within_ms, .. } = intent else {
         return vec![crate::plan::describe(intent)];
     };
-    let new = live(shared, service).filter(|i| i.version == *version).count();
-    let old = live(shared, service).count() - new;
+    let new = live_instances(shared, service).filter(|i| i.version == *version).count();
+    let old = live_instances(shared, service).count() - new;
     let seconds = within_ms / 1_000;
     vec![
         format!(
@@ -81,7 +81,7 @@
 pub(crate) fn warnings(shared: &Shared, intent: &Intent) -> Vec<String> {
     match intent {
         Intent::StartRollout { service, version, .. }
-            if !live(shared, service).any(|i| i.version == *version) =>
+            if !live_instances(shared, service).any(|i| i.version == *version) =>
         {
             vec![format!(
                 "no backend server of version '{version}' has reported yet: start them, or the roll-out is rolled back at its deadline"
--- a/crates/cherrystream-core/src/shared.rs
+++ b/crates/cherrystream-core/src/shared.rs
@@ -64,7 +64,7 @@
             known.instance.id != word.id || known.instance.born_ms != word.born_ms
         });
         if is_new {
-            rollout::on_new_run(shared, word);
+            rollout::on_new_instance(shared, word);
         }
         shared.instances.insert(host.into(), record);
     }
--- a/crates/cherrystream-daemon/src/outbound/trials.rs
+++ b/crates/cherrystream-daemon/src/outbound/trials.rs
@@ -93,7 +93,7 @@
     ids: &mut Vec<ServerId>,
 ) -> Option<UnderTrial> {
     // Where no backend server of the version is left, the old ones are better than none.
-    let is_there = rollout::live(shared, service).any(|i| i.version == rollout.version);
+    let is_there = rollout::live_instances(shared, service).any(|i| i.version == rollout.version);
     let mut tried = Vec::new();
     let mut exposure = 0.0;
     ids.retain(|id| {
