--- a/crates/cherrystream-core/src/rollout/mod.rs
+++ b/crates/cherrystream-core/src/rollout/mod.rs
@@ -75,7 +75,7 @@
 
 /// A request of an operator to start a roll-out.
 #[derive(Clone, Copy, Debug)]
-pub struct Order<'a> {
+pub struct StartRequest<'a> {
     /// Service that is rolled out.
     pub service: &'a str,
     /// Canary version.
@@ -88,53 +88,55 @@
 
 /// Relation of a request to the last roll-out of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Meets {
+pub enum Relation {
     /// No conflict: the request starts a roll-out.
-    Nothing,
+    Unrelated,
     /// The request repeats the one that started it.
-    Itself,
+    Repeated,
     /// Another roll-out is in progress.
-    Another,
+    Conflicting,
 }
 
-impl Order<'_> {
+impl StartRequest<'_> {
     /// Returns how the request relates to the last roll-out of the service.
-    pub fn meets(&self, shared: &Shared) -> Meets {
-        let Some(known) = shared.config.rollouts.get(self.service) else { return Meets::Nothing };
+    pub fn relation(&self, shared: &Shared) -> Relation {
+        let Some(known) = shared.config.rollouts.get(self.service) else {
+            return Relation::Unrelated;
+        };
         let same = known.version == self.version && known.within_ms == self.within_ms;
         let late = known.started_at_ms + known.within_ms + RETRY_WINDOW_MS;
         match known.stage {
-            RolloutStage::Trying | RolloutStage::Moving if !same => Meets::Another,
-            RolloutStage::Trying | RolloutStage::Moving => Meets::Itself,
-            RolloutStage::Completed if known.version == self.version => Meets::Itself,
-            RolloutStage::RolledBack if same && self.at_ms < late => Meets::Itself,
-            RolloutStage::Completed | RolloutStage::RolledBack => Meets::Nothing,
+            RolloutStage::Trying | RolloutStage::Moving if !same => Relation::Conflicting,
+            RolloutStage::Trying | RolloutStage::Moving => Relation::Repeated,
+            RolloutStage::Completed if known.version == self.version => Relation::Repeated,
+            RolloutStage::RolledBack if same && self.at_ms < late => Relation::Repeated,
+            RolloutStage::Completed | RolloutStage::RolledBack => Relation::Unrelated,
         }
     }
 }
 
 /// Starts a roll-out. A repeated or conflicting request changes nothing.
-pub(crate) fn start(shared: &mut Shared, order: &Order<'_>) {
-    if order.meets(shared) != Meets::Nothing {
+pub(crate) fn start(shared: &mut Shared, request: &StartRequest<'_>) {
+    if request.relation(shared) != Relation::Unrelated {
         return;
     }
-    let earlier = shared.config.rollouts.get(order.service);
+    let earlier = shared.config.rollouts.get(request.service);
     let mut held_back: BTreeSet<String> = earlier.map(versions_held_back_after).unwrap_or_default();
-    held_back.remove(order.version);
-    let others = |i: &&Instance| i.version != order.version && !held_back.contains(&i.version);
+    held_back.remove(request.version);
+    let others = |i: &&Instance| i.version != request.version && !held_back.contains(&i.version);
     let old: BTreeSet<String> =
-        live_instances(shared, order.service).filter(others).map(|i| i.version.clone()).collect();
+        live_instances(shared, request.service).filter(others).map(|i| i.version.clone()).collect();
     let rollout = Rollout {
-        version: order.version.into(),
+        version: request.version.into(),
         old: old.into_iter().filter(|version| !version.is_empty()).collect(),
         held_back: held_back.into_iter().collect(),
-        within_ms: order.within_ms,
-        started_at_ms: order.at_ms,
+        within_ms: request.within_ms,
+        started_at_ms: request.at_ms,
         stage: RolloutStage::Trying,
         exposure_milli: 0,
         reason: String::new(),
     };
-    shared.config.rollouts.insert(order.service.into(), rollout);
+    shared.config.rollouts.insert(request.service.into(), rollout);
 }
 
 /// Returns the versions that get no requests after a roll-out.
--- a/crates/cherrystream-core/src/rollout/plan.rs
+++ b/crates/cherrystream-core/src/rollout/plan.rs
@@ -1,6 +1,6 @@
 //! Validation and preview of operator intents about roll-outs.
 
-use super::{Meets, Order, has_service, is_in_progress, live_instances};
+use super::{Relation, StartRequest, has_service, is_in_progress, live_instances};
 use crate::errors::{self, Result};
 use cherrystream_schema::messages::{Intent, Shared};
 
@@ -21,7 +21,7 @@
     match intent {
         Intent::StartRollout { service, version, within_ms, at_ms } => {
             let at_ms = *at_ms;
-            check_start(shared, &Order { service, version, within_ms: *within_ms, at_ms })
+            check_start(shared, &StartRequest { service, version, within_ms: *within_ms, at_ms })
         }
         Intent::StopRollout { service } => match shared.config.rollouts.get(service) {
             Some(rollout) if is_in_progress(rollout) => Ok(()),
@@ -35,24 +35,24 @@
     }
 }
 
-fn check_start(shared: &Shared, order: &Order<'_>) -> Result<()> {
-    if !has_service(shared, order.service) {
-        return errors::missing("service", order.service, "list the services with `config`");
+fn check_start(shared: &Shared, request: &StartRequest<'_>) -> Result<()> {
+    if !has_service(shared, request.service) {
+        return errors::missing("service", request.service, "list the services with `config`");
     }
-    if order.version.is_empty() || order.version.len() > MAX_VERSION_BYTES {
+    if request.version.is_empty() || request.version.len() > MAX_VERSION_BYTES {
         let remedy =
             format!("use 1 to {MAX_VERSION_BYTES} bytes, as the backend servers report it");
-        return errors::bad_value("version", order.version, remedy);
+        return errors::bad_value("version", request.version, remedy);
     }
-    if !(MIN_WITHIN_MS..=MAX_WITHIN_MS).contains(&order.within_ms) {
+    if !(MIN_WITHIN_MS..=MAX_WITHIN_MS).contains(&request.within_ms) {
         let remedy = "use 5 seconds to a day, so that enough responses can be compared";
-        return errors::bad_value("within_ms", order.within_ms, remedy);
+        return errors::bad_value("within_ms", request.within_ms, remedy);
     }
-    match order.meets(shared) {
-        Meets::Nothing | Meets::Itself => Ok(()),
-        Meets::Another => {
-            let known = &shared.config.rollouts[order.service].version;
-            let service = order.service;
+    match request.relation(shared) {
+        Relation::Unrelated | Relation::Repeated => Ok(()),
+        Relation::Conflicting => {
+            let known = &shared.config.rollouts[request.service].version;
+            let service = request.service;
             let remedy =
                 format!("wait until it is decided, or stop it with `rollout stop {service}` first");
             errors::busy("roll-out of version", known, remedy)
--- a/crates/cherrystream-core/src/shared.rs
+++ b/crates/cherrystream-core/src/shared.rs
@@ -34,7 +34,7 @@
     match intent {
         Intent::StartRollout { service, version, within_ms, at_ms } => {
             let (within_ms, at_ms) = (*within_ms, *at_ms);
-            rollout::start(shared, &rollout::Order { service, version, within_ms, at_ms });
+            rollout::start(shared, &rollout::StartRequest { service, version, within_ms, at_ms });
         }
         Intent::StopRollout { service } => rollout::stop(shared, service),
         _ => apply_intent(&mut shared.config, intent),
