--- a/crates/cherrystream-core/src/rollout/controller.rs
+++ b/crates/cherrystream-core/src/rollout/controller.rs
@@ -5,8 +5,8 @@
 //! progress; only the steps of the leader are committed. A new leader receives all counts within
 //! one heartbeat interval.
 
+use super::counts::CountsDelta;
 use super::evaluation::Evaluator;
-use super::tally::CountsDelta;
 use super::{is_in_progress, live_instances};
 use crate::units::Timestamp;
 use cherrystream_schema::messages::{
--- a/crates/cherrystream-core/src/rollout/evaluation.rs
+++ b/crates/cherrystream-core/src/rollout/evaluation.rs
@@ -6,7 +6,7 @@
 //! degrades later is detected as fast as one that is bad from the start (Page, Continuous
 //! Inspection Schemes, 1954).
 
-use super::tally::{BUCKETS, CountsDelta};
+use super::counts::{BUCKETS, CountsDelta};
 use crate::units::Timestamp;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/cherrystream-core/src/rollout/mod.rs
+++ b/crates/cherrystream-core/src/rollout/mod.rs
@@ -8,10 +8,10 @@
 //! responses fail ([`guard`]).
 
 pub mod controller;
+pub mod counts;
 pub mod evaluation;
 pub mod guard;
 pub mod plan;
-pub mod tally;
 
 use crate::shared;
 use cherrystream_schema::messages::{Change, Instance, Rollout, RolloutStage, ServerState, Shared};
--- a/crates/cherrystream-core/tests/rollouts/evaluation.rs
+++ b/crates/cherrystream-core/tests/rollouts/evaluation.rs
@@ -1,7 +1,7 @@
 //! Evaluation of a canary: false alarms for a good version, delay of detection of a bad one.
 
+use cherrystream_core::rollout::counts::{Answer, Counts, CountsDelta};
 use cherrystream_core::rollout::evaluation::{Evaluator, Fault};
-use cherrystream_core::rollout::tally::{Answer, Counts, CountsDelta};
 use cherrystream_core::units::Timestamp;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/cherrystream-core/tests/rollouts/world.rs
+++ b/crates/cherrystream-core/tests/rollouts/world.rs
@@ -2,8 +2,8 @@
 //! leader of control. Counts and steps are delayed, and leaders change.
 
 use cherrystream_core::rollout::controller::{Controller, Limits, Moment};
+use cherrystream_core::rollout::counts::{Answer, Counts};
 use cherrystream_core::rollout::guard::{CanaryLease, CircuitBreaker};
-use cherrystream_core::rollout::tally::{Answer, Counts};
 use cherrystream_core::rollout::{self, Exposure};
 use cherrystream_core::shared;
 use cherrystream_core::units::Timestamp;
--- a/crates/cherrystream-daemon/src/door/trial.rs
+++ b/crates/cherrystream-daemon/src/door/trial.rs
@@ -1,8 +1,8 @@
 //! What a door keeps for the roll-out of its service: counts of answers, and its own stop.
 
 use super::permit::{Ending, Work};
+use cherrystream_core::rollout::counts::{Answer, Counts};
 use cherrystream_core::rollout::guard::CircuitBreaker;
-use cherrystream_core::rollout::tally::{Answer, Counts};
 use cherrystream_core::units::Timestamp;
 use cherrystream_schema::messages::KindTally;
 use std::collections::BTreeMap;
