--- a/crates/cherrystream-core/src/instances.rs
+++ b/crates/cherrystream-core/src/instances.rs
@@ -32,13 +32,13 @@
 
 /// Outcome of a report.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum ReportOutcome {
     /// Acknowledged; nothing changes.
     Acknowledge,
-    /// Acknowledged once [`Keeper::is_registered`] returns true.
+    /// Acknowledged once [`InstanceTracker::is_registered`] returns true.
     AwaitRegistration,
     /// Not acknowledged, since the registered instance is not yet known.
-    NotYet,
+    NotReady,
 }
 
 /// Returns the position of a state in the life cycle of an instance.
@@ -61,8 +61,8 @@
         });
     };
     if known.retired.contains(&report.id) {
-        let ended = known.retired_born_ms.get(&report.id).copied().unwrap_or_default();
-        return (report.born_ms > ended).then(|| replace(known, report));
+        let stopped = known.retired_born_ms.get(&report.id).copied().unwrap_or_default();
+        return (report.born_ms > stopped).then(|| replace(known, report));
     }
     if known.instance.id != report.id {
         return Some(replace(known, report));
@@ -89,15 +89,15 @@
 
 /// Replaces the registered instance by one with another identifier.
 fn replace(known: &InstanceRecord, report: &Instance) -> InstanceRecord {
-    let ended = &known.instance;
+    let stopped = &known.instance;
     let mut retired = known.retired.clone();
     let mut retired_born_ms = known.retired_born_ms.clone();
     retired.retain(|id| *id != report.id);
-    retired.push(ended.id.clone());
+    retired.push(stopped.id.clone());
     let excess = retired.len().saturating_sub(MAX_RETIRED);
     retired.drain(..excess);
-    if ended.born_ms > 0 {
-        retired_born_ms.insert(ended.id.clone(), ended.born_ms);
+    if stopped.born_ms > 0 {
+        retired_born_ms.insert(stopped.id.clone(), stopped.born_ms);
     }
     retired_born_ms.retain(|id, _| retired.contains(id));
     InstanceRecord { instance: report.clone(), retired, retired_born_ms }
@@ -123,19 +123,19 @@
 
 /// Tracks the instance beside a daemon and its registration.
 #[derive(Debug, Default)]
-pub struct Keeper {
+pub struct InstanceTracker {
     /// Whether control has confirmed what is registered for this host.
     confirmed: bool,
     /// Instance that was already registered when this process started.
     initial: Option<InstanceKey>,
     registered: Option<InstanceRecord>,
     /// Reported instance that is not yet registered.
-    wanted: Option<Instance>,
+    pending: Option<Instance>,
     /// Instances that stopped before they were registered.
-    ended: Vec<InstanceKey>,
+    stopped: Vec<InstanceKey>,
 }
 
-impl Keeper {
+impl InstanceTracker {
     /// Records what is registered for this host according to a confirmed answer of control; returns
     /// whether that changes anything here.
     pub fn on_registered(&mut self, record: Option<&InstanceRecord>) -> bool {
@@ -145,34 +145,35 @@
         }
         self.confirmed = true;
         self.registered = record.cloned();
-        let settled = self.wanted.as_ref().is_some_and(|w| register(record, w).is_none());
+        let settled =
+            self.pending.as_ref().is_some_and(|pending| register(record, pending).is_none());
         if settled {
-            self.wanted = None;
+            self.pending = None;
         }
         settled || !known
     }
 
     /// Handles a report of an instance.
-    pub fn on_report(&mut self, report: InstanceReport) -> Verdict {
+    pub fn on_report(&mut self, report: InstanceReport) -> ReportOutcome {
         if !self.confirmed {
-            return Verdict::NotYet;
+            return ReportOutcome::NotReady;
         }
         match report {
-            InstanceReport::Runs(instance) => self.on_runs(instance),
-            InstanceReport::Ends { id, born_ms } => self.on_ends(id, born_ms),
+            InstanceReport::Runs(instance) => self.on_running(instance),
+            InstanceReport::Ends { id, born_ms } => self.on_stopping(id, born_ms),
         }
     }
 
-    fn on_runs(&mut self, mut instance: Instance) -> Verdict {
-        if self.ended.iter().any(|key| key.is_same_or_later(&instance)) {
-            return Verdict::Acknowledge;
+    fn on_running(&mut self, mut instance: Instance) -> ReportOutcome {
+        if self.stopped.iter().any(|key| key.is_same_or_later(&instance)) {
+            return ReportOutcome::Acknowledge;
         }
         // The last report takes precedence, even if it is not yet registered.
-        if let Some(wanted) = self.wanted.as_ref().filter(|w| w.id == instance.id) {
-            match instance.born_ms.cmp(&wanted.born_ms) {
-                Ordering::Less => return Verdict::Acknowledge,
-                Ordering::Equal if progress(instance.state) <= progress(wanted.state) => {
-                    return Verdict::AwaitRegistration;
+        if let Some(pending) = self.pending.as_ref().filter(|pending| pending.id == instance.id) {
+            match instance.born_ms.cmp(&pending.born_ms) {
+                Ordering::Less => return ReportOutcome::Acknowledge,
+                Ordering::Equal if progress(instance.state) <= progress(pending.state) => {
+                    return ReportOutcome::AwaitRegistration;
                 }
                 _ => {}
             }
@@ -189,42 +190,42 @@
             instance.sequence = known.sequence;
         }
         match register(self.registered.as_ref(), &instance) {
-            None => Verdict::Acknowledge,
+            None => ReportOutcome::Acknowledge,
             Some(_) => {
-                self.wanted = Some(instance);
-                Verdict::AwaitRegistration
+                self.pending = Some(instance);
+                ReportOutcome::AwaitRegistration
             }
         }
     }
 
-    fn on_ends(&mut self, id: String, born_ms: Option<u64>) -> Verdict {
-        let wanted = self.wanted.as_ref().filter(|w| w.id == id);
+    fn on_stopping(&mut self, id: String, born_ms: Option<u64>) -> ReportOutcome {
+        let pending = self.pending.as_ref().filter(|pending| pending.id == id);
         let registered = self.registered.as_ref().map(|r| &r.instance).filter(|i| i.id == id);
-        let known = wanted.or(registered);
+        let known = pending.or(registered);
         if known.is_some_and(|instance| born_ms.is_some_and(|born| born < instance.born_ms)) {
             // A late report of an earlier instance.
-            return Verdict::Acknowledge;
+            return ReportOutcome::Acknowledge;
         }
         let Some(instance) = known else {
-            self.record_ended(InstanceKey { id, born_ms: born_ms.unwrap_or_default() });
-            return Verdict::Acknowledge;
+            self.record_stopped(InstanceKey { id, born_ms: born_ms.unwrap_or_default() });
+            return ReportOutcome::Acknowledge;
         };
         // A later instance stopped before its first report, so the known one has stopped as well.
         let born_ms = born_ms.unwrap_or(instance.born_ms);
         if instance.state == ServerState::Down && born_ms <= instance.born_ms {
-            return match wanted {
-                Some(_) => Verdict::AwaitRegistration,
-                None => Verdict::Acknowledge,
+            return match pending {
+                Some(_) => ReportOutcome::AwaitRegistration,
+                None => ReportOutcome::Acknowledge,
             };
         }
-        self.wanted = Some(Instance { state: ServerState::Down, born_ms, ..instance.clone() });
-        Verdict::AwaitRegistration
+        self.pending = Some(Instance { state: ServerState::Down, born_ms, ..instance.clone() });
+        ReportOutcome::AwaitRegistration
     }
 
-    fn record_ended(&mut self, key: InstanceKey) {
-        self.ended.push(key);
-        let excess = self.ended.len().saturating_sub(MAX_RETIRED);
-        self.ended.drain(..excess);
+    fn record_stopped(&mut self, key: InstanceKey) {
+        self.stopped.push(key);
+        let excess = self.stopped.len().saturating_sub(MAX_RETIRED);
+        self.stopped.drain(..excess);
     }
 
     /// Returns whether control has confirmed what is registered for this host.
@@ -240,16 +241,16 @@
 
     /// Returns whether every accepted report is registered.
     pub fn is_registered(&self) -> bool {
-        self.wanted.is_none()
+        self.pending.is_none()
     }
 
     /// Returns the instance that is to be registered.
-    pub fn wanted(&self) -> Option<&Instance> {
-        self.wanted.as_ref()
+    pub fn pending(&self) -> Option<&Instance> {
+        self.pending.as_ref()
     }
 
     /// Returns the instance beside this daemon according to its last report.
     pub fn current(&self) -> Option<&Instance> {
-        self.wanted.as_ref().or(self.registered.as_ref().map(|r| &r.instance))
+        self.pending.as_ref().or(self.registered.as_ref().map(|r| &r.instance))
     }
 }
--- a/crates/cherrystream-daemon/src/instances.rs
+++ b/crates/cherrystream-daemon/src/instances.rs
@@ -1,7 +1,7 @@
 //! The instance beside this daemon: takes its reports, and has them registered.
 
 use crate::doors::Doors;
-use cherrystream_core::instances::{InstanceReport, Keeper, Verdict};
+use cherrystream_core::instances::{InstanceReport, InstanceTracker, ReportOutcome};
 use cherrystream_core::units::Revision;
 use cherrystream_net::body::{self, Body, Start};
 use cherrystream_net::interface::{
@@ -23,7 +23,7 @@
 
 /// Keeps what is known of the instance.
 pub struct Instances {
-    keeper: Mutex<Keeper>,
+    tracker: Mutex<InstanceTracker>,
     /// Revision of the last word of control. Taken with no other lock.
     confirmed_at: Mutex<Revision>,
     doors: Arc<Doors>,
@@ -35,8 +35,8 @@
 impl Instances {
     /// Creates a daemon that knows of no instance.
     pub fn new(doors: Arc<Doors>, interface: Arc<dyn CallInterface>) -> Instances {
-        let (keeper, confirmed_at) = (Mutex::default(), Mutex::default());
-        Instances { keeper, confirmed_at, doors, interface, changes: watch::Sender::new(0) }
+        let (tracker, confirmed_at) = (Mutex::default(), Mutex::default());
+        Instances { tracker, confirmed_at, doors, interface, changes: watch::Sender::new(0) }
     }
 
     /// Takes what control has confirmed to be registered at a revision; returns whether that is news here. It comes
@@ -50,7 +50,7 @@
             }
             *confirmed_at = at;
         }
-        let news = self.keeper.lock().on_registered(record);
+        let news = self.tracker.lock().on_registered(record);
         if news {
             self.put_in_force();
         }
@@ -59,7 +59,7 @@
 
     /// Returns the instance as it is to be registered.
     pub fn current(&self) -> Option<Instance> {
-        self.keeper.lock().current().cloned()
+        self.tracker.lock().current().cloned()
     }
 
     /// Returns what became of requests at the instance, while a roll-out of its service is under way.
@@ -127,7 +127,7 @@
         let mut changes = self.changes.subscribe();
         let in_time = async {
             // The sender lives as long as this does, so the wait cannot fail.
-            let _ = changes.wait_for(|_| self.keeper.lock().is_confirmed()).await;
+            let _ = changes.wait_for(|_| self.tracker.lock().is_confirmed()).await;
             self.keep(reported).await
         };
         tokio::time::timeout(REGISTRATION_WAIT, in_time).await.unwrap_or(ReportAnswer::NotNow)
@@ -140,7 +140,7 @@
             InstanceReport::Ends { .. } => None,
         };
         let before = self.current();
-        let verdict = self.keeper.lock().on_report(report);
+        let outcome = self.tracker.lock().on_report(report);
         // The door closes before anybody is told that the instance leaves.
         match before == self.current() {
             true => self.open_door(),
@@ -149,10 +149,10 @@
         if let Some((run, cold_for)) = warmth {
             self.tell_warmth(&run, cold_for);
         }
-        match verdict {
-            Verdict::Acknowledge => ReportAnswer::Taken,
-            Verdict::NotYet => ReportAnswer::NotNow,
-            Verdict::AwaitRegistration => self.await_registration().await,
+        match outcome {
+            ReportOutcome::Acknowledge => ReportAnswer::Taken,
+            ReportOutcome::NotReady => ReportAnswer::NotNow,
+            ReportOutcome::AwaitRegistration => self.await_registration().await,
         }
     }
 
@@ -168,7 +168,7 @@
 
     async fn await_registration(&self) -> ReportAnswer {
         let mut changes = self.changes.subscribe();
-        match changes.wait_for(|_| self.keeper.lock().is_registered()).await {
+        match changes.wait_for(|_| self.tracker.lock().is_registered()).await {
             Ok(_) => ReportAnswer::Taken,
             Err(_) => ReportAnswer::NotNow,
         }
@@ -176,9 +176,9 @@
 
     fn open_door(&self) {
         let (current, is_new) = {
-            let keeper = self.keeper.lock();
-            let current = keeper.current().cloned();
-            let is_new = current.as_ref().is_some_and(|run| keeper.is_new(run));
+            let tracker = self.tracker.lock();
+            let current = tracker.current().cloned();
+            let is_new = current.as_ref().is_some_and(|run| tracker.is_new(run));
             (current, is_new)
         };
         self.doors.set_instance(current.as_ref(), is_new);
