--- a/crates/cherrystream-core/src/instances.rs
+++ b/crates/cherrystream-core/src/instances.rs
@@ -20,9 +20,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum InstanceReport {
     /// It is running.
-    Runs(Instance),
+    Running(Instance),
     /// It is stopping and accepts no new requests.
-    Ends {
+    Stopping {
         /// Identifier of the instance.
         id: String,
         /// Start time of the stopping instance in milliseconds; `None` means the current one.
@@ -159,8 +159,8 @@
             return ReportOutcome::NotReady;
         }
         match report {
-            InstanceReport::Runs(instance) => self.on_running(instance),
-            InstanceReport::Ends { id, born_ms } => self.on_stopping(id, born_ms),
+            InstanceReport::Running(instance) => self.on_running(instance),
+            InstanceReport::Stopping { id, born_ms } => self.on_stopping(id, born_ms),
         }
     }
 
--- a/crates/cherrystream-core/tests/instances.rs
+++ b/crates/cherrystream-core/tests/instances.rs
@@ -18,7 +18,7 @@
 }
 
 fn runs(id: &str, state: ServerState, sequence: u64) -> InstanceReport {
-    InstanceReport::Runs(instance(id, state, sequence))
+    InstanceReport::Running(instance(id, state, sequence))
 }
 
 /// Registers the pending instance of a tracker in the log and confirms it.
@@ -66,7 +66,7 @@
     tracker.on_registered(None);
     tracker.on_report(runs("a", ServerState::Live, 1));
     settle(&mut tracker, &mut log);
-    let ends = InstanceReport::Ends { id: "a".into(), born_ms: None };
+    let ends = InstanceReport::Stopping { id: "a".into(), born_ms: None };
     assert_eq!(tracker.on_report(ends.clone()), ReportOutcome::AwaitRegistration);
     assert_eq!(tracker.current().unwrap().state, ServerState::Down);
     settle(&mut tracker, &mut log);
@@ -81,7 +81,7 @@
 fn a_late_report_does_not_register_an_unknown_stopped_instance() {
     let mut tracker = InstanceTracker::default();
     tracker.on_registered(None);
-    let ends = InstanceReport::Ends { id: "a".into(), born_ms: None };
+    let ends = InstanceReport::Stopping { id: "a".into(), born_ms: None };
     assert_eq!(tracker.on_report(ends), ReportOutcome::Acknowledge);
     assert_eq!(tracker.on_report(runs("a", ServerState::Live, 1)), ReportOutcome::Acknowledge);
     assert_eq!(tracker.current(), None);
@@ -96,7 +96,7 @@
     tracker.on_registered(None);
     let mut log = None;
     for report in reports {
-        tracker.on_report(InstanceReport::Runs(report.clone()));
+        tracker.on_report(InstanceReport::Running(report.clone()));
         settle(&mut tracker, &mut log);
     }
     (tracker, log)
@@ -109,9 +109,9 @@
     let (mut tracker, mut log) = settled(&[ended, again.clone()]);
     assert_eq!(log.as_ref().map(|record| &record.instance), Some(&again));
     // Late reports of the earlier instance change nothing, whatever their sequence.
-    let late = InstanceReport::Runs(born("a", ServerState::Draining, 99, 100));
+    let late = InstanceReport::Running(born("a", ServerState::Draining, 99, 100));
     assert_eq!(tracker.on_report(late), ReportOutcome::Acknowledge);
-    let ends = InstanceReport::Ends { id: "a".into(), born_ms: Some(100) };
+    let ends = InstanceReport::Stopping { id: "a".into(), born_ms: Some(100) };
     assert_eq!(tracker.on_report(ends), ReportOutcome::Acknowledge);
     settle(&mut tracker, &mut log);
     assert_eq!(tracker.current(), Some(&again));
@@ -122,10 +122,10 @@
     let (mut tracker, _) = settled(&[born("a", ServerState::Live, 9, 100)]);
     let again = born("a", ServerState::Live, 1, 101);
     assert_eq!(
-        tracker.on_report(InstanceReport::Runs(again.clone())),
+        tracker.on_report(InstanceReport::Running(again.clone())),
         ReportOutcome::AwaitRegistration
     );
-    let late = InstanceReport::Runs(born("a", ServerState::Draining, 99, 100));
+    let late = InstanceReport::Running(born("a", ServerState::Draining, 99, 100));
     assert_eq!(tracker.on_report(late), ReportOutcome::Acknowledge);
     assert_eq!(tracker.pending(), Some(&again));
 }
@@ -165,13 +165,13 @@
             let born_ms = u.int_in_range(1..=6)?;
             let state = *u.choose(&[ServerState::Live, ServerState::Draining])?;
             let report = match u.int_in_range(0..=5)? {
-                0 => InstanceReport::Ends { id: "a".into(), born_ms: Some(born_ms) },
+                0 => InstanceReport::Stopping { id: "a".into(), born_ms: Some(born_ms) },
                 1 => {
                     tracker = InstanceTracker::default();
                     tracker.on_registered(log.as_ref());
                     continue;
                 }
-                _ => InstanceReport::Runs(born("a", state, u.int_in_range(0..=9)?, born_ms)),
+                _ => InstanceReport::Running(born("a", state, u.int_in_range(0..=9)?, born_ms)),
             };
             let outcome = tracker.on_report(report);
             if outcome == ReportOutcome::AwaitRegistration {
@@ -197,7 +197,7 @@
             let id = *u.choose(&["a", "b", "c"])?;
             let state = *u.choose(&[ServerState::Live, ServerState::Draining])?;
             let report = match u.int_in_range(0..=5)? {
-                0 => InstanceReport::Ends { id: id.into(), born_ms: None },
+                0 => InstanceReport::Stopping { id: id.into(), born_ms: None },
                 1 => {
                     settle(&mut tracker, &mut log);
                     continue;
@@ -210,7 +210,7 @@
                 _ => runs(id, state, u.int_in_range(0..=9)?),
             };
             let leaves =
-                !matches!(&report, InstanceReport::Runs(i) if i.state == ServerState::Live);
+                !matches!(&report, InstanceReport::Running(i) if i.state == ServerState::Live);
             let outcome = tracker.on_report(report);
             if outcome == ReportOutcome::AwaitRegistration {
                 settle(&mut tracker, &mut log);
@@ -236,20 +236,20 @@
     let mut tracker = InstanceTracker::default();
     tracker.on_registered(None);
     let born = |born_ms| Instance { born_ms, ..instance("a", ServerState::Live, 1) };
-    tracker.on_report(InstanceReport::Runs(born(100)));
+    tracker.on_report(InstanceReport::Running(born(100)));
     settle(&mut tracker, &mut log);
-    let ends = InstanceReport::Ends { id: "a".into(), born_ms: Some(200) };
+    let ends = InstanceReport::Stopping { id: "a".into(), born_ms: Some(200) };
     assert_eq!(tracker.on_report(ends), ReportOutcome::AwaitRegistration);
     settle(&mut tracker, &mut log);
     assert_eq!(tracker.current().unwrap().state, ServerState::Down);
-    tracker.on_report(InstanceReport::Runs(born(200)));
+    tracker.on_report(InstanceReport::Running(born(200)));
     settle(&mut tracker, &mut log);
     assert_eq!(
         tracker.current().unwrap().state,
         ServerState::Down,
         "a stopped instance stays stopped"
     );
-    tracker.on_report(InstanceReport::Runs(born(300)));
+    tracker.on_report(InstanceReport::Running(born(300)));
     settle(&mut tracker, &mut log);
     assert_eq!(tracker.current().unwrap().state, ServerState::Live);
 }
--- a/crates/cherrystream-daemon/src/instances.rs
+++ b/crates/cherrystream-daemon/src/instances.rs
@@ -100,8 +100,10 @@
     /// is registered here.
     fn check_service(&self, report: &InstanceReport) -> Result<(), BadReport> {
         let unknown = match report {
-            InstanceReport::Runs(run) => Some(&run.service).filter(|name| !self.doors.knows(name)),
-            InstanceReport::Ends { .. } => None,
+            InstanceReport::Running(run) => {
+                Some(&run.service).filter(|name| !self.doors.knows(name))
+            }
+            InstanceReport::Stopping { .. } => None,
         };
         let Some(service) = unknown else { return Ok(()) };
         let fault = Fault {
@@ -136,8 +138,8 @@
     async fn keep(&self, reported: Reported) -> ReportAnswer {
         let Reported { report, cold_for } = reported;
         let warmth = match &report {
-            InstanceReport::Runs(run) => cold_for.map(|cold_for| (run.clone(), cold_for)),
-            InstanceReport::Ends { .. } => None,
+            InstanceReport::Running(run) => cold_for.map(|cold_for| (run.clone(), cold_for)),
+            InstanceReport::Stopping { .. } => None,
         };
         let before = self.current();
         let outcome = self.tracker.lock().on_report(report);
--- a/crates/cherrystream-daemon/src/own_interface.rs
+++ b/crates/cherrystream-daemon/src/own_interface.rs
@@ -100,7 +100,7 @@
             return Err(BadReport { kind: Misreport::UnknownCall, fault });
         };
         if head.method == Method::DELETE {
-            let report = InstanceReport::Ends { id: id.into(), born_ms: None };
+            let report = InstanceReport::Stopping { id: id.into(), born_ms: None };
             return Ok(Reported { report, cold_for: None });
         }
         let instance: Instance = serde_json::from_slice(body).map_err(|e| BadReport {
@@ -110,7 +110,7 @@
                 remedy: "send id, service, address, slots, state and sequence".into(),
             },
         })?;
-        let report = InstanceReport::Runs(Instance { id: id.into(), ..instance });
+        let report = InstanceReport::Running(Instance { id: id.into(), ..instance });
         Ok(Reported { report, cold_for: read_cold(&head.headers) })
     }
 
--- a/crates/cherrystream-daemon/tests/reports.rs
+++ b/crates/cherrystream-daemon/tests/reports.rs
@@ -58,7 +58,7 @@
     let instances = instances();
     let reporting = instances.clone();
     let report =
-        tokio::spawn(async move { reporting.report(InstanceReport::Runs(instance())).await });
+        tokio::spawn(async move { reporting.report(InstanceReport::Running(instance())).await });
     tokio::time::sleep(Duration::from_millis(400)).await;
     assert!(!report.is_finished(), "it is turned away");
     instances.on_confirmed(None, Revision { term: 1, index: 1 });
@@ -76,7 +76,7 @@
 #[tokio::test]
 async fn a_report_is_turned_away_in_time_where_control_stays_away() {
     let instances = instances();
-    let report = instances.report(InstanceReport::Runs(instance()));
+    let report = instances.report(InstanceReport::Running(instance()));
     let answered = tokio::time::timeout(Duration::from_millis(950), report).await;
     assert_eq!(answered.expect("whoever reports has given up"), ReportAnswer::NotNow);
 }
@@ -110,7 +110,7 @@
     instances.on_confirmed(Some(&record), revision);
     for i in 1..=2 {
         let stray = Instance { id: "i-9".into(), service: "quote".into(), ..instance() };
-        let answer = instances.report(InstanceReport::Runs(stray)).await;
+        let answer = instances.report(InstanceReport::Running(stray)).await;
         assert!(matches!(answer, ReportAnswer::Bad(_)), "{answer:?}");
         let label = ReasonLabel { reason: "unknown-service" };
         assert_eq!(metrics.bad_reports.get_or_create(&label).get(), i);
