--- a/crates/cherrystream-core/src/suspects/record.rs
+++ b/crates/cherrystream-core/src/suspects/record.rs
@@ -63,9 +63,11 @@
     /// A backend server crashed while it was in flight, possibly by coincidence.
     Watched,
     /// It runs in isolation.
-    Alone,
+    #[serde(rename = "Alone")]
+    Isolated,
     /// It is quarantined.
-    HeldBack,
+    #[serde(rename = "HeldBack")]
+    Quarantined,
 }
 
 impl Status {
@@ -74,8 +76,8 @@
         match self {
             Status::Clear => "clear",
             Status::Watched => "watched",
-            Status::Alone => "runs-alone",
-            Status::HeldBack => "held-back",
+            Status::Isolated => "runs-alone",
+            Status::Quarantined => "held-back",
         }
     }
 }
--- a/crates/cherrystream-core/src/suspects/table.rs
+++ b/crates/cherrystream-core/src/suspects/table.rs
@@ -38,9 +38,9 @@
     /// Not hedged: no second attempt runs beside the first.
     Watched,
     /// Runs in isolation at the backend server selected for it, without a retry.
-    Alone,
+    Isolated,
     /// Quarantined: refused for the given time, then let through once as a trial.
-    HeldBack(Duration),
+    Quarantined(Duration),
 }
 
 /// Microseconds since the start of the process. Negative for crashes that other daemons recorded
@@ -80,10 +80,10 @@
         match entry.status() {
             Status::Clear => Treatment::Clear,
             Status::Watched => Treatment::Watched,
-            Status::Alone => Treatment::Alone,
-            Status::HeldBack => match entry.until_trial(micros(now)) {
-                Duration::ZERO => Treatment::Alone,
-                left => Treatment::HeldBack(left),
+            Status::Isolated => Treatment::Isolated,
+            Status::Quarantined => match entry.until_trial(micros(now)) {
+                Duration::ZERO => Treatment::Isolated,
+                left => Treatment::Quarantined(left),
             },
         }
     }
@@ -246,8 +246,8 @@
         match self.crashes.len() {
             0 => Status::Clear,
             1 => Status::Watched,
-            ends if ends >= QUARANTINE_FROM_CRASHES && alone => Status::HeldBack,
-            ends if ends >= ISOLATE_FROM_CRASHES => Status::Alone,
+            ends if ends >= QUARANTINE_FROM_CRASHES && alone => Status::Quarantined,
+            ends if ends >= ISOLATE_FROM_CRASHES => Status::Isolated,
             _ => Status::Watched,
         }
     }
@@ -267,7 +267,7 @@
 
     fn is_expired(&self, now: Micros) -> bool {
         let lasts = match self.status() {
-            Status::HeldBack => QUARANTINE_TTL,
+            Status::Quarantined => QUARANTINE_TTL,
             _ => SUSPECT_TTL,
         };
         elapsed(self.last_crash().max(self.changed), now) >= lasts
@@ -362,7 +362,7 @@
             ends: self.crashes.len() as u64,
             ends_alone: self.crashes.iter().filter(|crash| crash.alone).count() as u64,
             last_end_s: elapsed(self.last_crash(), now).as_secs(),
-            next_trial_s: (status == Status::HeldBack).then(trial),
+            next_trial_s: (status == Status::Quarantined).then(trial),
         }
     }
 
--- a/crates/cherrystream-core/tests/suspects/table.rs
+++ b/crates/cherrystream-core/tests/suspects/table.rs
@@ -16,7 +16,7 @@
     table.on_crash(ms(100), &crash(1, &[sent(1, false)]));
     assert_eq!(table.treatment(ms(101), POISON), Treatment::Watched);
     table.on_crash(ms(200), &crash(2, &[sent(1, false)]));
-    assert_eq!(table.treatment(ms(201), POISON), Treatment::Alone);
+    assert_eq!(table.treatment(ms(201), POISON), Treatment::Isolated);
     table.on_crash(ms(300), &crash(3, &[sent(1, true)]));
     table
 }
@@ -25,7 +25,7 @@
 fn three_crashes_with_one_in_isolation_quarantine_a_request() {
     let table = quarantined();
     let left = Duration::from_secs(29);
-    assert_eq!(table.treatment(ms(1_300), POISON), Treatment::HeldBack(left));
+    assert_eq!(table.treatment(ms(1_300), POISON), Treatment::Quarantined(left));
 }
 
 #[test]
@@ -42,7 +42,7 @@
     for end in 1..=20 {
         table.on_crash(ms(100), &crash(end, &[sent(1, false)]));
     }
-    assert_eq!(table.treatment(ms(101), POISON), Treatment::Alone);
+    assert_eq!(table.treatment(ms(101), POISON), Treatment::Isolated);
     table.on_answer(ms(150), POISON);
     assert_eq!(table.treatment(ms(151), POISON), Treatment::Clear);
 }
@@ -66,11 +66,11 @@
     let (mut at, mut trials, mut in_first_minutes) = (300, 0, 0);
     while at < 24 * 3_600 * SECOND {
         at += SECOND;
-        if table.treatment(ms(at), POISON) == Treatment::Alone {
+        if table.treatment(ms(at), POISON) == Treatment::Isolated {
             trials += 1;
             in_first_minutes += u32::from(at < 200 * SECOND);
             table.on_crash(ms(at), &crash(100 + trials, &[sent(1, true)]));
-            assert_ne!(table.treatment(ms(at), POISON), Treatment::Alone);
+            assert_ne!(table.treatment(ms(at), POISON), Treatment::Isolated);
         }
     }
     // After 30 s, 90 s, 210 s, and so on up to an hour.
@@ -82,7 +82,7 @@
 #[test]
 fn a_trial_that_succeeds_clears_the_request() {
     let mut table = quarantined();
-    assert_eq!(table.treatment(ms(30_300), POISON), Treatment::Alone);
+    assert_eq!(table.treatment(ms(30_300), POISON), Treatment::Isolated);
     let (audience, _) = table.on_answer(ms(30_400), POISON).unwrap();
     assert_eq!(audience, Audience::All);
     assert_eq!(table.treatment(ms(30_401), POISON), Treatment::Clear);
@@ -118,8 +118,8 @@
     let records = quarantined().wide_records(ms(20_300));
     let mut restarted = Suspects::default();
     assert!(restarted.on_record(ms(5), &records[0]));
-    assert_eq!(restarted.treatment(ms(5), POISON), Treatment::HeldBack(Duration::from_secs(10)));
-    assert_eq!(restarted.treatment(ms(10_005), POISON), Treatment::Alone);
+    assert_eq!(restarted.treatment(ms(5), POISON), Treatment::Quarantined(Duration::from_secs(10)));
+    assert_eq!(restarted.treatment(ms(10_005), POISON), Treatment::Isolated);
 }
 
 #[test]
@@ -141,7 +141,7 @@
         let records = other.wide_records(ms(350 + round * 100));
         merge(&mut one, ms(400 + round * 100), &records);
     }
-    assert_eq!(one.treatment(ms(30_300), POISON), Treatment::Alone);
+    assert_eq!(one.treatment(ms(30_300), POISON), Treatment::Isolated);
 }
 
 #[test]
@@ -172,7 +172,7 @@
         table.on_crash(ms(400), &crash(9_000 + end as u64, in_flight));
         assert!(table.len() <= MAX_ENTRIES);
     }
-    assert!(matches!(table.treatment(ms(500), POISON), Treatment::HeldBack(_)));
+    assert!(matches!(table.treatment(ms(500), POISON), Treatment::Quarantined(_)));
 }
 
 #[test]
--- a/crates/cherrystream-core/tests/suspects/world.rs
+++ b/crates/cherrystream-core/tests/suspects/world.rs
@@ -91,8 +91,8 @@
         let from = u.choose_index(HOSTS)?;
         for _ in 0..2 {
             let treatment = self.hosts[from].table.treatment(ms(self.now), Fingerprint(request));
-            let mut alone = treatment == Treatment::Alone;
-            if matches!(treatment, Treatment::HeldBack(_)) {
+            let mut alone = treatment == Treatment::Isolated;
+            if matches!(treatment, Treatment::Quarantined(_)) {
                 return Ok(());
             }
             let open: Vec<usize> =
@@ -106,13 +106,13 @@
             };
             let mut to = if alone { selected_host(&open) } else { *u.choose(&open)? };
             match self.hosts[to].table.treatment(ms(self.now), Fingerprint(request)) {
-                Treatment::HeldBack(_) => return Ok(()),
-                Treatment::Alone if !alone => (to, alone) = (selected_host(&open), true),
+                Treatment::Quarantined(_) => return Ok(()),
+                Treatment::Isolated if !alone => (to, alone) = (selected_host(&open), true),
                 _ => {}
             }
             if matches!(
                 self.hosts[to].table.treatment(ms(self.now), Fingerprint(request)),
-                Treatment::HeldBack(_)
+                Treatment::Quarantined(_)
             ) {
                 return Ok(());
             }
@@ -273,7 +273,7 @@
             world.step(u)?;
             let is_quarantined = |host: &Host| {
                 let treatment = host.table.treatment(ms(world.now), Fingerprint(HARMLESS));
-                matches!(treatment, Treatment::HeldBack(_))
+                matches!(treatment, Treatment::Quarantined(_))
             };
             assert!(world.has_coincidence || !world.hosts.iter().any(is_quarantined));
         }
--- a/crates/cherrystream-daemon/src/inbound/mod.rs
+++ b/crates/cherrystream-daemon/src/inbound/mod.rs
@@ -277,10 +277,10 @@
         call: &InboundCall,
     ) -> Result<Option<AlonePlace>, Refused> {
         let must_be_alone = match self.suspects.judge(call.identity.request) {
-            Treatment::HeldBack(retry_after) => {
+            Treatment::Quarantined(retry_after) => {
                 return Err(Refused { retry_after, ..self.refuse(Reason::HeldBack) });
             }
-            Treatment::Alone => true,
+            Treatment::Isolated => true,
             Treatment::Clear | Treatment::Watched => false,
         };
         // Its sender knows less than this door, and would have sent it elsewhere.
--- a/crates/cherrystream-daemon/src/outbound/retrying.rs
+++ b/crates/cherrystream-daemon/src/outbound/retrying.rs
@@ -14,8 +14,8 @@
     pub(super) fn check_suspect(&self, call: &mut Call) -> Result<(), Refused> {
         match self.suspects.judge(call.identity.request) {
             Treatment::Clear | Treatment::Watched => {}
-            Treatment::Alone => call.run_alone(),
-            Treatment::HeldBack(retry_after) => {
+            Treatment::Isolated => call.run_alone(),
+            Treatment::Quarantined(retry_after) => {
                 return Err(Refused { retry_after, ..Refused::new(Reason::HeldBack) });
             }
         }
--- a/crates/cherrystream-daemon/src/suspects/mod.rs
+++ b/crates/cherrystream-daemon/src/suspects/mod.rs
@@ -127,8 +127,8 @@
         match self.table.lock().treatment(now, request) {
             Treatment::Clear => Status::Clear,
             Treatment::Watched => Status::Watched,
-            Treatment::Alone => Status::Alone,
-            Treatment::HeldBack(_) => Status::HeldBack,
+            Treatment::Isolated => Status::Isolated,
+            Treatment::Quarantined(_) => Status::Quarantined,
         }
     }
 
@@ -139,7 +139,7 @@
 
     fn show(&self) {
         let table = self.table.lock();
-        for standing in [Status::Watched, Status::Alone, Status::HeldBack] {
+        for standing in [Status::Watched, Status::Isolated, Status::Quarantined] {
             let label = SuspectLabel { standing: standing.as_str() };
             let count = table.count(standing) as i64;
             self.tools.metrics.suspects.get_or_create(&label).set(count);
