--- a/crates/cherrystream-core/src/suspects/crashes.rs
+++ b/crates/cherrystream-core/src/suspects/crashes.rs
@@ -1,6 +1,6 @@
 //! Detects crashes of one backend server and the requests that were in flight at that time.
 //!
-//! A broken connection alone is no evidence: it may have been reset, or the response cut off.
+//! A broken connection isolated is no evidence: it may have been reset, or the response cut off.
 //! A refused connection is none either: an overloaded server resets excess connections. A crash is
 //! confirmed when no request that was in flight before is still in flight and, shortly after
 //! connections broke, a new connection is refused, or repeatedly closed at once, or another
@@ -32,7 +32,7 @@
     /// Identity of the request.
     pub identity: Identity,
     /// Whether it runs in isolation: no other suspect request runs at that server.
-    pub alone: bool,
+    pub isolated: bool,
 }
 
 /// A confirmed crash and the requests that were in flight.
@@ -68,7 +68,7 @@
     /// Time at which each request in flight was sent.
     in_flight: BTreeMap<Ticket, Timestamp>,
     next: Ticket,
-    alone: bool,
+    isolated: bool,
     probing: bool,
 }
 
@@ -106,13 +106,13 @@
     }
 
     /// Acquires the single slot for a request in isolation; returns whether it was free.
-    pub fn begin_alone(&mut self) -> bool {
-        !std::mem::replace(&mut self.alone, true)
+    pub fn begin_isolated(&mut self) -> bool {
+        !std::mem::replace(&mut self.isolated, true)
     }
 
     /// Releases the slot for a request in isolation.
-    pub fn end_alone(&mut self) {
-        self.alone = false;
+    pub fn end_isolated(&mut self) {
+        self.isolated = false;
     }
 
     /// Records that the connection of a request sent at `sent_at` broke. Returns the crash that
--- a/crates/cherrystream-core/src/suspects/table.rs
+++ b/crates/cherrystream-core/src/suspects/table.rs
@@ -51,7 +51,7 @@
 struct CrashEntry {
     at: Micros,
     id: CrashId,
-    alone: bool,
+    isolated: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -105,7 +105,7 @@
         let Identity { request, caller } = sent.identity;
         self.evict(now, request, caller);
         let entry = self.entries.entry(request).or_insert_with(|| Entry::new(caller, now));
-        if !entry.add(CrashEntry { at: now, id, alone: sent.alone }) {
+        if !entry.add(CrashEntry { at: now, id, isolated: sent.isolated }) {
             return None;
         }
         entry.changed = now;
@@ -235,18 +235,18 @@
             entry.add(CrashEntry {
                 at: at_age(now, crash.age_ms),
                 id: crash.id,
-                alone: crash.alone,
+                isolated: crash.alone,
             });
         }
         entry
     }
 
     fn status(&self) -> Status {
-        let alone = self.crashes.iter().any(|crash| crash.alone);
+        let isolated = self.crashes.iter().any(|crash| crash.isolated);
         match self.crashes.len() {
             0 => Status::Clear,
             1 => Status::Watched,
-            ends if ends >= QUARANTINE_FROM_CRASHES && alone => Status::Quarantined,
+            ends if ends >= QUARANTINE_FROM_CRASHES && isolated => Status::Quarantined,
             ends if ends >= ISOLATE_FROM_CRASHES => Status::Isolated,
             _ => Status::Watched,
         }
@@ -259,7 +259,7 @@
     /// Returns the time until the next trial. Each crash in isolation after the first was a failed
     /// trial.
     fn until_trial(&self, now: Micros) -> Duration {
-        let failed = self.crashes.iter().filter(|crash| crash.alone).count().saturating_sub(1);
+        let failed = self.crashes.iter().filter(|crash| crash.isolated).count().saturating_sub(1);
         let factor = 1_u32.checked_shl(failed as u32).unwrap_or(u32::MAX);
         let wait = FIRST_TRIAL_AFTER.saturating_mul(factor).min(MAX_TRIAL_INTERVAL);
         wait.saturating_sub(elapsed(self.last_crash(), now))
@@ -330,7 +330,7 @@
         let ends = self.crashes.iter().map(|crash| CrashRecord {
             id: crash.id,
             age_ms: millis(elapsed(crash.at, now)),
-            alone: crash.alone,
+            alone: crash.isolated,
         });
         Record {
             request,
@@ -360,7 +360,7 @@
             caller: format!("{:016x}", self.caller.0),
             standing: status.as_str().into(),
             ends: self.crashes.len() as u64,
-            ends_alone: self.crashes.iter().filter(|crash| crash.alone).count() as u64,
+            ends_alone: self.crashes.iter().filter(|crash| crash.isolated).count() as u64,
             last_end_s: elapsed(self.last_crash(), now).as_secs(),
             next_trial_s: (status == Status::Quarantined).then(trial),
         }
--- a/crates/cherrystream-core/tests/suspects/crashes.rs
+++ b/crates/cherrystream-core/tests/suspects/crashes.rs
@@ -101,10 +101,10 @@
 #[test]
 fn one_request_at_a_time_runs_in_isolation() {
     let mut detector = CrashDetector::default();
-    assert!(detector.begin_alone());
-    assert!(!detector.begin_alone());
-    detector.end_alone();
-    assert!(detector.begin_alone());
+    assert!(detector.begin_isolated());
+    assert!(!detector.begin_isolated());
+    detector.end_isolated();
+    assert!(detector.begin_isolated());
 }
 
 #[test]
--- a/crates/cherrystream-core/tests/suspects/main.rs
+++ b/crates/cherrystream-core/tests/suspects/main.rs
@@ -18,8 +18,8 @@
     Identity { request: Fingerprint(request), caller: CallerFingerprint(caller) }
 }
 
-fn sent(request: u64, alone: bool) -> SentRequest {
-    SentRequest { identity: identity(request, 1), alone }
+fn sent(request: u64, isolated: bool) -> SentRequest {
+    SentRequest { identity: identity(request, 1), isolated }
 }
 
 fn crash(id: u64, in_flight: &[SentRequest]) -> Crash {
--- a/crates/cherrystream-core/tests/suspects/table.rs
+++ b/crates/cherrystream-core/tests/suspects/table.rs
@@ -165,7 +165,7 @@
 #[test]
 fn a_caller_with_many_suspects_evicts_only_its_own() {
     let mut table = quarantined();
-    let generated = (10_u64..).map(|n| SentRequest { identity: identity(n, 66), alone: false });
+    let generated = (10_u64..).map(|n| SentRequest { identity: identity(n, 66), isolated: false });
     let generated: Vec<SentRequest> = generated.take(3 * MAX_ENTRIES).collect();
     for (end, in_flight) in generated.chunks(12).enumerate() {
         table.on_crash(ms(400), &crash(1_000 + end as u64, in_flight));
--- a/crates/cherrystream-core/tests/suspects/world.rs
+++ b/crates/cherrystream-core/tests/suspects/world.rs
@@ -91,7 +91,7 @@
         let from = u.choose_index(HOSTS)?;
         for _ in 0..2 {
             let treatment = self.hosts[from].table.treatment(ms(self.now), Fingerprint(request));
-            let mut alone = treatment == Treatment::Isolated;
+            let mut isolated = treatment == Treatment::Isolated;
             if matches!(treatment, Treatment::Quarantined(_)) {
                 return Ok(());
             }
@@ -104,10 +104,10 @@
                 let weight = |h: &&usize| suspects::weight(Fingerprint(request), &h.to_string());
                 open.iter().max_by_key(weight).copied().unwrap_or_default()
             };
-            let mut to = if alone { selected_host(&open) } else { *u.choose(&open)? };
+            let mut to = if isolated { selected_host(&open) } else { *u.choose(&open)? };
             match self.hosts[to].table.treatment(ms(self.now), Fingerprint(request)) {
                 Treatment::Quarantined(_) => return Ok(()),
-                Treatment::Isolated if !alone => (to, alone) = (selected_host(&open), true),
+                Treatment::Isolated if !isolated => (to, isolated) = (selected_host(&open), true),
                 _ => {}
             }
             if matches!(
@@ -116,8 +116,8 @@
             ) {
                 return Ok(());
             }
-            let broke = self.run(u, to, request, alone)?;
-            if !broke || alone {
+            let broke = self.run(u, to, request, isolated)?;
+            if !broke || isolated {
                 return Ok(());
             }
         }
@@ -130,9 +130,9 @@
         u: &mut Unstructured<'_>,
         at: usize,
         request: u64,
-        alone: bool,
+        isolated: bool,
     ) -> Result<bool> {
-        self.runs.push((self.now, request, alone));
+        self.runs.push((self.now, request, isolated));
         let by_coincidence = u.ratio(1, 10)?;
         self.now += 30;
         if request != POISON && !by_coincidence {
@@ -142,8 +142,8 @@
             self.announce(u, at, news.into_iter().collect())?;
             return Ok(false);
         }
-        self.has_coincidence |= request != POISON && alone;
-        let sent = SentRequest { identity: identity(request, request), alone };
+        self.has_coincidence |= request != POISON && isolated;
+        let sent = SentRequest { identity: identity(request, request), isolated };
         self.end(u, at, Some(sent))?;
         Ok(true)
     }
--- a/crates/cherrystream-daemon/src/suspects/at_work.rs
+++ b/crates/cherrystream-daemon/src/suspects/at_work.rs
@@ -24,14 +24,14 @@
 impl AlonePlace {
     /// Takes the place, if it is free.
     pub fn take(door: &Arc<Door>) -> Option<AlonePlace> {
-        let is_free = door.ends().begin_alone();
+        let is_free = door.ends().begin_isolated();
         is_free.then(|| AlonePlace { door: door.clone() })
     }
 }
 
 impl Drop for AlonePlace {
     fn drop(&mut self) {
-        self.door.ends().end_alone();
+        self.door.ends().end_isolated();
     }
 }
 
@@ -58,7 +58,7 @@
         AtWork {
             watch: watch.clone(),
             door: door.clone(),
-            sent: SentRequest { identity, alone: place.is_some() },
+            sent: SentRequest { identity, isolated: place.is_some() },
             sent_at,
             ticket: door.ends().begin(sent_at),
             is_settled: false,
