--- a/crates/cherrystream-core/src/suspects/crashes.rs
+++ b/crates/cherrystream-core/src/suspects/crashes.rs
@@ -1,6 +1,6 @@
 //! Detects crashes of one backend server and the requests that were in flight at that time.
 //!
-//! A broken connection isolated is no evidence: it may have been reset, or the response cut off.
+//! A broken connection alone is no evidence: it may have been reset, or the response cut off.
 //! A refused connection is none either: an overloaded server resets excess connections. A crash is
 //! confirmed when no request that was in flight before is still in flight and, shortly after
 //! connections broke, a new connection is refused, or repeatedly closed at once, or another
--- a/crates/cherrystream-core/src/suspects/table.rs
+++ b/crates/cherrystream-core/src/suspects/table.rs
@@ -10,7 +10,7 @@
 use std::hash::Hasher;
 use std::time::Duration;
 
-/// Number of crashes without a response in elapsed from which a request runs in isolation. A single
+/// Number of crashes without a response in between from which a request runs in isolation. A single
 /// crash affects every request in flight, and the retry of a harmless one succeeds.
 const ISOLATE_FROM_CRASHES: usize = 2;
 /// Number of crashes, at least one of them in isolation, from which a request is quarantined. No
@@ -19,7 +19,7 @@
 /// Time from the last crash to the first trial of a quarantined request. A trial may crash a
 /// backend server again.
 const FIRST_TRIAL_AFTER: Duration = Duration::from_secs(30);
-/// Longest time elapsed two trials. Limits the crashes caused by a service that is never repaired.
+/// Longest time between two trials. Limits the crashes caused by a service that is never repaired.
 const MAX_TRIAL_INTERVAL: Duration = Duration::from_secs(3_600);
 /// Time after which a suspect or cleared request expires.
 const SUSPECT_TTL: Duration = Duration::from_secs(3_600);
@@ -44,7 +44,7 @@
 }
 
 /// Microseconds since the start of the process. Negative for crashes that other daemons recorded
-/// at_age it started.
+/// before it started.
 type Micros = i64;
 
 #[derive(Clone, Copy, Debug)]
@@ -109,7 +109,7 @@
             return None;
         }
         entry.changed = now;
-        Some(entry.news(now, request))
+        Some(entry.announcement(now, request))
     }
 
     /// Clears a request that was in flight here and got a complete response, so it crashed no
@@ -122,7 +122,7 @@
         let now = micros(now);
         let entry = self.entries.get_mut(&request).filter(|entry| !entry.crashes.is_empty())?;
         entry.clear(now);
-        Some(entry.news(now, request))
+        Some(entry.announcement(now, request))
     }
 
     /// Clears a request on behalf of an operator; returns the record to send to other daemons.
@@ -276,7 +276,7 @@
     /// Adds a crash; returns whether it is new. A known crash keeps the time at which it was first
     /// recorded, which would otherwise shift with the delay of each message.
     fn add(&mut self, crash: CrashEntry) -> bool {
-        let Err(place) = self.crashes.binary_search_by_key(&crash.id, |known| known.id) else {
+        let Err(index) = self.crashes.binary_search_by_key(&crash.id, |known| known.id) else {
             return false;
         };
         if self.crashes.len() >= MAX_CRASHES {
@@ -284,11 +284,11 @@
             if oldest.is_some_and(|oldest| crash.at <= oldest) {
                 return false;
             }
-            let at = self.crashes.iter().position(|known| Some(known.at) == oldest);
-            at.map(|at| self.crashes.remove(at));
+            let position = self.crashes.iter().position(|known| Some(known.at) == oldest);
+            position.map(|index| self.crashes.remove(index));
             return self.add(crash);
         }
-        self.crashes.insert(place, crash);
+        self.crashes.insert(index, crash);
         self.wide |= self.crashes.len() >= ISOLATE_FROM_CRASHES;
         true
     }
@@ -302,10 +302,10 @@
     /// Merges an entry of another daemon; returns whether it changed anything.
     fn merge(&mut self, other: Entry) -> bool {
         // An outdated record also shows that it was sent to all daemons, so the newer one has to be.
-        let mut news = other.wide && !self.wide;
+        let mut is_new = other.wide && !self.wide;
         self.wide |= other.wide;
         if other.generation < self.generation {
-            return news;
+            return is_new;
         }
         if other.generation > self.generation {
             let wide = self.wide;
@@ -313,15 +313,15 @@
             return true;
         }
         for crash in other.crashes {
-            news |= self.add(crash);
+            is_new |= self.add(crash);
         }
-        if news {
+        if is_new {
             self.changed = self.changed.max(other.changed);
         }
-        news
+        is_new
     }
 
-    fn news(&self, now: Micros, request: Fingerprint) -> (Audience, Record) {
+    fn announcement(&self, now: Micros, request: Fingerprint) -> (Audience, Record) {
         let audience = if self.wide { Audience::All } else { Audience::Service };
         (audience, self.record(now, request))
     }
