--- a/crates/cherrystream-core/src/shared.rs
+++ b/crates/cherrystream-core/src/shared.rs
@@ -35,7 +35,7 @@
     match intent {
         Intent::StartRollout { service, version, within_ms, at_ms } => {
             let (within_ms, at_ms) = (*within_ms, *at_ms);
-            rollout::start(shared, &rollout::Order { service, version, within_ms, at_ms });
+            rollout::start(shared, &rollout::StartRequest { service, version, within_ms, at_ms });
         }
         Intent::StopRollout { service } => rollout::stop(shared, service),
         _ => apply_config_intent(&mut shared.config, intent),
@@ -66,7 +66,7 @@
             existing.instance.id != instance.id || existing.instance.born_ms != instance.born_ms
         });
         if is_new {
-            rollout::on_new_run(shared, instance);
+            rollout::on_new_instance(shared, instance);
         }
         shared.instances.insert(host.into(), record);
     }
--- a/crates/cherrystream-core/src/suspects/table.rs
+++ b/crates/cherrystream-core/src/suspects/table.rs
@@ -1,8 +1,8 @@
 //! Merges the crashes reported by all daemons and decides how a request is treated.
 
-use super::identity::{CallerMark, Fingerprint, Identity};
-use super::record::{EndId, Reach, Record, SeenEnd, Standing};
-use super::{Ended, Sent};
+use super::identity::{CallerFingerprint, Fingerprint, Identity};
+use super::record::{Audience, CrashId, CrashRecord, Record, Status};
+use super::{Crash, SentRequest};
 use crate::units::Timestamp;
 use cherrystream_schema::messages::Suspect;
 use siphasher::sip::SipHasher13;
@@ -10,7 +10,7 @@
 use std::hash::Hasher;
 use std::time::Duration;
 
-/// Number of crashes without a response in elapsed from which a request runs in isolation. A single
+/// Number of crashes without a response in between from which a request runs in isolation. A single
 /// crash affects every request in flight, and the retry of a harmless one succeeds.
 const ISOLATE_FROM_CRASHES: usize = 2;
 /// Number of crashes, at least one of them in isolation, from which a request is quarantined. No
@@ -19,7 +19,7 @@
 /// Time from the last crash to the first trial of a quarantined request. A trial may crash a
 /// backend server again.
 const FIRST_TRIAL_AFTER: Duration = Duration::from_secs(30);
-/// Longest time elapsed two trials. Limits the crashes caused by a service that is never repaired.
+/// Longest time between two trials. Limits the crashes caused by a service that is never repaired.
 const MAX_TRIAL_INTERVAL: Duration = Duration::from_secs(3_600);
 /// Time after which a suspect or cleared request expires.
 const SUSPECT_TTL: Duration = Duration::from_secs(3_600);
@@ -32,36 +32,36 @@
 
 /// How a request is treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Treatment {
     /// No restriction.
     Clear,
     /// Not hedged: no second attempt runs beside the first.
     Watched,
     /// Runs in isolation at the backend server selected for it, without a retry.
-    Alone,
+    Isolated,
     /// Quarantined: refused for the given time, then let through once as a trial.
-    HeldBack(Duration),
+    Quarantined(Duration),
 }
 
 /// Microseconds since the start of the process. Negative for crashes that other daemons recorded
-/// at_age it started.
+/// before it started.
 type Micros = i64;
 
 #[derive(Clone, Copy, Debug)]
-struct Crash {
+struct CrashEntry {
     at: Micros,
-    id: EndId,
-    alone: bool,
+    id: CrashId,
+    isolated: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
-    caller: CallerMark,
+    caller: CallerFingerprint,
     generation: u32,
     wide: bool,
     changed: Micros,
     /// Sorted by identifier.
-    ends: Vec<Crash>,
+    crashes: Vec<CrashEntry>,
 }
 
 /// The suspect requests that a daemon has recorded.
@@ -72,56 +72,66 @@
 
 impl Suspects {
     /// Returns how a request is treated.
-    pub fn judge(&self, now: Timestamp, request: Fingerprint) -> Verdict {
-        let Some(entry) = self.entries.get(&request) else { return Verdict::Clear };
+    pub fn treatment(&self, now: Timestamp, request: Fingerprint) -> Treatment {
+        let Some(entry) = self.entries.get(&request) else { return Treatment::Clear };
         if entry.is_expired(micros(now)) {
-            return Verdict::Clear;
+            return Treatment::Clear;
         }
-        match entry.standing() {
-            Standing::Clear => Verdict::Clear,
-            Standing::Watched => Verdict::Watched,
-            Standing::Alone => Verdict::Alone,
-            Standing::HeldBack => match entry.until_trial(micros(now)) {
-                Duration::ZERO => Verdict::Alone,
-                left => Verdict::HeldBack(left),
+        match entry.status() {
+            Status::Clear => Treatment::Clear,
+            Status::Watched => Treatment::Watched,
+            Status::Isolated => Treatment::Isolated,
+            Status::Quarantined => match entry.until_trial(micros(now)) {
+                Duration::ZERO => Treatment::Isolated,
+                left => Treatment::Quarantined(left),
             },
         }
     }
 
     /// Records a crash confirmed by this daemon; returns the records to send to other daemons.
-    pub fn on_end(&mut self, now: Timestamp, ended: &Ended) -> Vec<(Reach, Record)> {
+    pub fn on_crash(&mut self, now: Timestamp, crash: &Crash) -> Vec<(Audience, Record)> {
         let now = micros(now);
-        let suspects = ended.at_work.iter().filter_map(|sent| self.add_crash(now, ended.id, sent));
+        let suspects =
+            crash.in_flight.iter().filter_map(|sent| self.add_crash(now, crash.id, sent));
         suspects.collect()
     }
 
-    fn add_crash(&mut self, now: Micros, id: EndId, sent: &Sent) -> Option<(Reach, Record)> {
+    fn add_crash(
+        &mut self,
+        now: Micros,
+        id: CrashId,
+        sent: &SentRequest,
+    ) -> Option<(Audience, Record)> {
         let Identity { request, caller } = sent.identity;
         self.evict(now, request, caller);
         let entry = self.entries.entry(request).or_insert_with(|| Entry::new(caller, now));
-        if !entry.add(Crash { at: now, id, alone: sent.alone }) {
+        if !entry.add(CrashEntry { at: now, id, isolated: sent.isolated }) {
             return None;
         }
         entry.changed = now;
-        Some(entry.news(now, request))
+        Some(entry.announcement(now, request))
     }
 
     /// Clears a request that was in flight here and got a complete response, so it crashed no
     /// backend server. Returns the record to send to other daemons.
-    pub fn on_answer(&mut self, now: Timestamp, request: Fingerprint) -> Option<(Reach, Record)> {
+    pub fn on_answer(
+        &mut self,
+        now: Timestamp,
+        request: Fingerprint,
+    ) -> Option<(Audience, Record)> {
         let now = micros(now);
-        let entry = self.entries.get_mut(&request).filter(|entry| !entry.ends.is_empty())?;
+        let entry = self.entries.get_mut(&request).filter(|entry| !entry.crashes.is_empty())?;
         entry.clear(now);
-        Some(entry.news(now, request))
+        Some(entry.announcement(now, request))
     }
 
     /// Clears a request on behalf of an operator; returns the record to send to other daemons.
-    pub fn lift(&mut self, now: Timestamp, request: Fingerprint) -> Option<(Reach, Record)> {
+    pub fn clear(&mut self, now: Timestamp, request: Fingerprint) -> Option<(Audience, Record)> {
         self.on_answer(now, request)
     }
 
     /// Merges a record of another daemon; returns whether it changed anything.
-    pub fn on_word(&mut self, now: Timestamp, record: &Record) -> bool {
+    pub fn on_record(&mut self, now: Timestamp, record: &Record) -> bool {
         let now = micros(now);
         let other = Entry::from_record(now, record);
         if other.is_expired(now) {
@@ -137,7 +147,7 @@
     }
 
     /// Removes expired entries.
-    pub fn tick(&mut self, now: Timestamp) {
+    pub fn expire(&mut self, now: Timestamp) {
         let now = micros(now);
         self.entries.retain(|_, entry| !entry.is_expired(now));
     }
@@ -150,27 +160,27 @@
     }
 
     /// Returns whether there are records that are sent to all daemons.
-    pub fn has_wide(&self) -> bool {
+    pub fn has_wide_records(&self) -> bool {
         self.entries.values().any(|entry| entry.wide)
     }
 
     /// Returns all records that are sent to all daemons.
-    pub fn wide(&self, now: Timestamp) -> Vec<Record> {
+    pub fn wide_records(&self, now: Timestamp) -> Vec<Record> {
         let wide = self.entries.iter().filter(|(_, entry)| entry.wide);
         wide.map(|(request, entry)| entry.record(micros(now), *request)).collect()
     }
 
     /// Returns the requests with recorded crashes for operators, the worst status first.
     pub fn list(&self, now: Timestamp) -> Vec<Suspect> {
-        let known = self.entries.iter().filter(|(_, entry)| !entry.ends.is_empty());
+        let known = self.entries.iter().filter(|(_, entry)| !entry.crashes.is_empty());
         let mut known: Vec<_> = known.collect();
-        known.sort_by_key(|(request, entry)| (std::cmp::Reverse(entry.standing()), **request));
+        known.sort_by_key(|(request, entry)| (std::cmp::Reverse(entry.status()), **request));
         known.iter().map(|(request, entry)| entry.to_suspect(micros(now), **request)).collect()
     }
 
     /// Returns the number of requests with a status.
-    pub fn count(&self, standing: Standing) -> usize {
-        self.entries.values().filter(|entry| entry.standing() == standing).count()
+    pub fn count(&self, status: Status) -> usize {
+        self.entries.values().filter(|entry| entry.status() == status).count()
     }
 
     /// Returns the number of requests in the table.
@@ -185,7 +195,7 @@
 
     /// Evicts the least important entry of the caller with the most entries, if the table is full.
     /// A caller that sends many suspect requests evicts only its own.
-    fn evict(&mut self, now: Micros, request: Fingerprint, caller: CallerMark) {
+    fn evict(&mut self, now: Micros, request: Fingerprint, caller: CallerFingerprint) {
         if self.entries.len() < MAX_ENTRIES || self.entries.contains_key(&request) {
             return;
         }
@@ -193,7 +203,7 @@
         if self.entries.len() < MAX_ENTRIES {
             return;
         }
-        let mut counts: HashMap<CallerMark, usize> = HashMap::from([(caller, 1)]);
+        let mut counts: HashMap<CallerFingerprint, usize> = HashMap::from([(caller, 1)]);
         for entry in self.entries.values() {
             *counts.entry(entry.caller).or_default() += 1;
         }
@@ -208,8 +218,8 @@
 }
 
 impl Entry {
-    fn new(caller: CallerMark, now: Micros) -> Entry {
-        Entry { caller, generation: 0, wide: false, changed: now, ends: Vec::new() }
+    fn new(caller: CallerFingerprint, now: Micros) -> Entry {
+        Entry { caller, generation: 0, wide: false, changed: now, crashes: Vec::new() }
     }
 
     /// Converts a record of another daemon.
@@ -219,104 +229,108 @@
             generation: record.generation,
             wide: record.wide,
             changed: at_age(now, record.age_ms),
-            ends: Vec::new(),
+            crashes: Vec::new(),
         };
-        for end in &record.ends {
-            entry.add(Crash { at: at_age(now, end.age_ms), id: end.id, alone: end.alone });
+        for crash in &record.ends {
+            entry.add(CrashEntry {
+                at: at_age(now, crash.age_ms),
+                id: crash.id,
+                isolated: crash.alone,
+            });
         }
         entry
     }
 
-    fn standing(&self) -> Standing {
-        let alone = self.ends.iter().any(|end| end.alone);
-        match self.ends.len() {
-            0 => Standing::Clear,
-            1 => Standing::Watched,
-            ends if ends >= QUARANTINE_FROM_CRASHES && alone => Standing::HeldBack,
-            ends if ends >= ISOLATE_FROM_CRASHES => Standing::Alone,
-            _ => Standing::Watched,
+    fn status(&self) -> Status {
+        let isolated = self.crashes.iter().any(|crash| crash.isolated);
+        match self.crashes.len() {
+            0 => Status::Clear,
+            1 => Status::Watched,
+            ends if ends >= QUARANTINE_FROM_CRASHES && isolated => Status::Quarantined,
+            ends if ends >= ISOLATE_FROM_CRASHES => Status::Isolated,
+            _ => Status::Watched,
         }
     }
 
-    fn last_end(&self) -> Micros {
-        self.ends.iter().map(|end| end.at).max().unwrap_or(self.changed)
+    fn last_crash(&self) -> Micros {
+        self.crashes.iter().map(|crash| crash.at).max().unwrap_or(self.changed)
     }
 
     /// Returns the time until the next trial. Each crash in isolation after the first was a failed
     /// trial.
     fn until_trial(&self, now: Micros) -> Duration {
-        let failed = self.ends.iter().filter(|end| end.alone).count().saturating_sub(1);
+        let failed = self.crashes.iter().filter(|crash| crash.isolated).count().saturating_sub(1);
         let factor = 1_u32.checked_shl(failed as u32).unwrap_or(u32::MAX);
         let wait = FIRST_TRIAL_AFTER.saturating_mul(factor).min(MAX_TRIAL_INTERVAL);
-        wait.saturating_sub(elapsed(self.last_end(), now))
+        wait.saturating_sub(elapsed(self.last_crash(), now))
     }
 
     fn is_expired(&self, now: Micros) -> bool {
-        let lasts = match self.standing() {
-            Standing::HeldBack => QUARANTINE_TTL,
+        let lasts = match self.status() {
+            Status::Quarantined => QUARANTINE_TTL,
             _ => SUSPECT_TTL,
         };
-        elapsed(self.last_end().max(self.changed), now) >= lasts
+        elapsed(self.last_crash().max(self.changed), now) >= lasts
     }
 
     /// Adds a crash; returns whether it is new. A known crash keeps the time at which it was first
     /// recorded, which would otherwise shift with the delay of each message.
-    fn add(&mut self, end: Crash) -> bool {
-        let Err(place) = self.ends.binary_search_by_key(&end.id, |known| known.id) else {
+    fn add(&mut self, crash: CrashEntry) -> bool {
+        let Err(index) = self.crashes.binary_search_by_key(&crash.id, |known| known.id) else {
             return false;
         };
-        if self.ends.len() >= MAX_CRASHES {
-            let oldest = self.ends.iter().map(|known| known.at).min();
-            if oldest.is_some_and(|oldest| end.at <= oldest) {
+        if self.crashes.len() >= MAX_CRASHES {
+            let oldest = self.crashes.iter().map(|known| known.at).min();
+            if oldest.is_some_and(|oldest| crash.at <= oldest) {
                 return false;
             }
-            let at = self.ends.iter().position(|known| Some(known.at) == oldest);
-            at.map(|at| self.ends.remove(at));
-            return self.add(end);
+            let position = self.crashes.iter().position(|known| Some(known.at) == oldest);
+            position.map(|index| self.crashes.remove(index));
+            return self.add(crash);
         }
-        self.ends.insert(place, end);
-        self.wide |= self.ends.len() >= ISOLATE_FROM_CRASHES;
+        self.crashes.insert(index, crash);
+        self.wide |= self.crashes.len() >= ISOLATE_FROM_CRASHES;
         true
     }
 
     fn clear(&mut self, now: Micros) {
         self.generation = self.generation.saturating_add(1);
-        self.ends.clear();
+        self.crashes.clear();
         self.changed = now;
     }
 
     /// Merges an entry of another daemon; returns whether it changed anything.
     fn merge(&mut self, other: Entry) -> bool {
         // An outdated record also shows that it was sent to all daemons, so the newer one has to be.
-        let mut news = other.wide && !self.wide;
+        let mut is_new = other.wide && !self.wide;
         self.wide |= other.wide;
         if other.generation < self.generation {
-            return news;
+            return is_new;
         }
         if other.generation > self.generation {
             let wide = self.wide;
             *self = Entry { wide, ..other };
             return true;
         }
-        for end in other.ends {
-            news |= self.add(end);
+        for crash in other.crashes {
+            is_new |= self.add(crash);
         }
-        if news {
+        if is_new {
             self.changed = self.changed.max(other.changed);
         }
-        news
+        is_new
     }
 
-    fn news(&self, now: Micros, request: Fingerprint) -> (Reach, Record) {
-        let reach = if self.wide { Reach::All } else { Reach::Service };
-        (reach, self.record(now, request))
+    fn announcement(&self, now: Micros, request: Fingerprint) -> (Audience, Record) {
+        let audience = if self.wide { Audience::All } else { Audience::Service };
+        (audience, self.record(now, request))
     }
 
     fn record(&self, now: Micros, request: Fingerprint) -> Record {
-        let ends = self.ends.iter().map(|end| SeenEnd {
-            id: end.id,
-            age_ms: millis(elapsed(end.at, now)),
-            alone: end.alone,
+        let ends = self.crashes.iter().map(|crash| CrashRecord {
+            id: crash.id,
+            age_ms: millis(elapsed(crash.at, now)),
+            alone: crash.isolated,
         });
         Record {
             request,
@@ -332,29 +346,29 @@
         let mut hasher = SipHasher13::new();
         hasher.write(&request.0.to_le_bytes());
         hasher.write(&self.generation.to_le_bytes());
-        for end in &self.ends {
-            hasher.write(&end.id.0.to_le_bytes());
+        for crash in &self.crashes {
+            hasher.write(&crash.id.0.to_le_bytes());
         }
         hasher.finish()
     }
 
     fn to_suspect(&self, now: Micros, request: Fingerprint) -> Suspect {
-        let standing = self.standing();
+        let status = self.status();
         let trial = || self.until_trial(now).as_secs();
         Suspect {
             mark: request.to_string(),
             caller: format!("{:016x}", self.caller.0),
-            standing: standing.as_str().into(),
-            ends: self.ends.len() as u64,
-            ends_alone: self.ends.iter().filter(|end| end.alone).count() as u64,
-            last_end_s: elapsed(self.last_end(), now).as_secs(),
-            next_trial_s: (standing == Standing::HeldBack).then(trial),
+            standing: status.as_str().into(),
+            ends: self.crashes.len() as u64,
+            ends_alone: self.crashes.iter().filter(|crash| crash.isolated).count() as u64,
+            last_end_s: elapsed(self.last_crash(), now).as_secs(),
+            next_trial_s: (status == Status::Quarantined).then(trial),
         }
     }
 
     /// Returns the importance of the entry; the entry with the lowest is evicted first.
-    fn rank(&self) -> (Standing, usize, Micros) {
-        (self.standing(), self.ends.len(), self.changed)
+    fn rank(&self) -> (Status, usize, Micros) {
+        (self.status(), self.crashes.len(), self.changed)
     }
 }
 
--- a/crates/cherrystream-core/tests/suspects/world.rs
+++ b/crates/cherrystream-core/tests/suspects/world.rs
@@ -4,7 +4,8 @@
 use super::{identity, merge, ms};
 use arbtest::arbitrary::{Result, Unstructured};
 use cherrystream_core::suspects::{
-    self, EndId, Ends, Fingerprint, Message, Reach, Record, Sent, Suspects, Verdict,
+    self, Audience, CrashDetector, CrashId, Fingerprint, Message, Record, SentRequest, Suspects,
+    Treatment,
 };
 
 const HOSTS: usize = 6;
@@ -15,7 +16,7 @@
 
 struct Host {
     table: Suspects,
-    ends: Ends,
+    detector: CrashDetector,
     /// Time at which its backend server is up again.
     down_until: u64,
     /// Time at which the host resumes.
@@ -38,7 +39,7 @@
     fn new() -> World {
         let host = |_| Host {
             table: Suspects::default(),
-            ends: Ends::default(),
+            detector: CrashDetector::default(),
             down_until: 0,
             frozen_until: 0,
             is_partitioned: false,
@@ -70,7 +71,7 @@
         &mut self,
         u: &mut Unstructured<'_>,
         from: usize,
-        news: Vec<(Reach, Record)>,
+        news: Vec<(Audience, Record)>,
     ) -> Result<()> {
         for (_, record) in news {
             for to in 0..HOSTS {
@@ -89,9 +90,9 @@
     fn send(&mut self, u: &mut Unstructured<'_>, request: u64) -> Result<()> {
         let from = u.choose_index(HOSTS)?;
         for _ in 0..2 {
-            let verdict = self.hosts[from].table.judge(ms(self.now), Fingerprint(request));
-            let mut alone = verdict == Verdict::Alone;
-            if matches!(verdict, Verdict::HeldBack(_)) {
+            let treatment = self.hosts[from].table.treatment(ms(self.now), Fingerprint(request));
+            let mut isolated = treatment == Treatment::Isolated;
+            if matches!(treatment, Treatment::Quarantined(_)) {
                 return Ok(());
             }
             let open: Vec<usize> =
@@ -103,20 +104,20 @@
                 let weight = |h: &&usize| suspects::weight(Fingerprint(request), &h.to_string());
                 open.iter().max_by_key(weight).copied().unwrap_or_default()
             };
-            let mut to = if alone { selected_host(&open) } else { *u.choose(&open)? };
-            match self.hosts[to].table.judge(ms(self.now), Fingerprint(request)) {
-                Verdict::HeldBack(_) => return Ok(()),
-                Verdict::Alone if !alone => (to, alone) = (selected_host(&open), true),
+            let mut to = if isolated { selected_host(&open) } else { *u.choose(&open)? };
+            match self.hosts[to].table.treatment(ms(self.now), Fingerprint(request)) {
+                Treatment::Quarantined(_) => return Ok(()),
+                Treatment::Isolated if !isolated => (to, isolated) = (selected_host(&open), true),
                 _ => {}
             }
             if matches!(
-                self.hosts[to].table.judge(ms(self.now), Fingerprint(request)),
-                Verdict::HeldBack(_)
+                self.hosts[to].table.treatment(ms(self.now), Fingerprint(request)),
+                Treatment::Quarantined(_)
             ) {
                 return Ok(());
             }
-            let broke = self.run(u, to, request, alone)?;
-            if !broke || alone {
+            let broke = self.run(u, to, request, isolated)?;
+            if !broke || isolated {
                 return Ok(());
             }
         }
@@ -129,34 +130,40 @@
         u: &mut Unstructured<'_>,
         at: usize,
         request: u64,
-        alone: bool,
+        isolated: bool,
     ) -> Result<bool> {
-        self.runs.push((self.now, request, alone));
+        self.runs.push((self.now, request, isolated));
         let by_coincidence = u.ratio(1, 10)?;
         self.now += 30;
         if request != POISON && !by_coincidence {
             let host = &mut self.hosts[at];
-            host.ends.on_answer(ms(self.now - 30));
+            host.detector.on_answer(ms(self.now - 30));
             let news = host.table.on_answer(ms(self.now), Fingerprint(request));
             self.announce(u, at, news.into_iter().collect())?;
             return Ok(false);
         }
-        self.has_coincidence |= request != POISON && alone;
-        let sent = Sent { identity: identity(request, request), alone };
+        self.has_coincidence |= request != POISON && isolated;
+        let sent = SentRequest { identity: identity(request, request), isolated };
         self.end(u, at, Some(sent))?;
         Ok(true)
     }
 
-    fn end(&mut self, u: &mut Unstructured<'_>, at: usize, sent: Option<Sent>) -> Result<()> {
-        let (now, id) = (ms(self.now), EndId(self.next_crash));
+    fn end(
+        &mut self,
+        u: &mut Unstructured<'_>,
+        at: usize,
+        sent: Option<SentRequest>,
+    ) -> Result<()> {
+        let (now, id) = (ms(self.now), CrashId(self.next_crash));
         self.next_crash += 1;
         let host = &mut self.hosts[at];
         host.down_until = self.now + 2_000;
-        let known = sent.and_then(|sent| host.ends.on_broke(now, ms(self.now - 30), sent));
-        let ended = known.or_else(|| host.ends.on_ended(now, id));
+        let known =
+            sent.and_then(|sent| host.detector.on_connection_broken(now, ms(self.now - 30), sent));
+        let crash = known.or_else(|| host.detector.on_crash(now, id));
         // The restarted server is another instance.
-        host.ends = Ends::default();
-        let news = ended.map(|ended| host.table.on_end(now, &ended)).unwrap_or_default();
+        host.detector = CrashDetector::default();
+        let news = crash.map(|crash| host.table.on_crash(now, &crash)).unwrap_or_default();
         self.announce(u, at, news)
     }
 
@@ -181,7 +188,7 @@
             return;
         }
         for (from, to) in [(one, other), (other, one)] {
-            let records = self.hosts[from].table.wide(now);
+            let records = self.hosts[from].table.wide_records(now);
             merge(&mut self.hosts[to].table, now, &records);
         }
     }
@@ -265,8 +272,8 @@
         while !u.is_empty() {
             world.step(u)?;
             let is_quarantined = |host: &Host| {
-                let verdict = host.table.judge(ms(world.now), Fingerprint(HARMLESS));
-                matches!(verdict, Verdict::HeldBack(_))
+                let treatment = host.table.treatment(ms(world.now), Fingerprint(HARMLESS));
+                matches!(treatment, Treatment::Quarantined(_))
             };
             assert!(world.has_coincidence || !world.hosts.iter().any(is_quarantined));
         }
@@ -316,7 +323,7 @@
         }
         let now = ms(world.now);
         let mut records: Vec<Record> =
-            world.hosts.iter().flat_map(|host| host.table.wide(now)).collect();
+            world.hosts.iter().flat_map(|host| host.table.wide_records(now)).collect();
         let mut one = Suspects::default();
         merge(&mut one, now, &records);
         records.reverse();
--- a/crates/cherrystream-daemon/src/suspects/mod.rs
+++ b/crates/cherrystream-daemon/src/suspects/mod.rs
@@ -15,7 +15,9 @@
 use crate::metrics::{Metrics, SuspectLabel};
 use crate::peer::Peers;
 use cherrystream_core::log_budget::LogBudget;
-use cherrystream_core::suspects::{Ended, Fingerprint, Reach, Record, Standing, Suspects, Verdict};
+use cherrystream_core::suspects::{
+    Audience, Crash, Fingerprint, Record, Status, Suspects, Treatment,
+};
 use cherrystream_core::units::Timestamp;
 use cherrystream_net::clock::Clock;
 use cherrystream_net::key::Secret;
@@ -58,8 +60,8 @@
     }
 
     /// Returns what is done with a request.
-    pub fn judge(&self, request: Fingerprint) -> Verdict {
-        self.table.lock().judge(self.tools.clock.now(), request)
+    pub fn judge(&self, request: Fingerprint) -> Treatment {
+        self.table.lock().treatment(self.tools.clock.now(), request)
     }
 
     /// Returns the requests under which backend servers ended.
@@ -70,11 +72,11 @@
     /// Clears a request, as an operator wants it; returns whether it was known.
     pub fn lift(self: &Arc<Self>, request: Fingerprint) -> bool {
         let now = self.tools.clock.now();
-        let news = self.table.lock().lift(now, request);
+        let news = self.table.lock().clear(now, request);
         let Some((_, record)) = news else { return false };
         log::info!("suspect: mark={request} standing=clear by=operator");
         // The operator may have asked a daemon of another service.
-        self.clone().tell(None, vec![(Reach::All, record)]);
+        self.clone().tell(None, vec![(Audience::All, record)]);
         true
     }
 
@@ -82,29 +84,29 @@
     fn on_answer(self: &Arc<Self>, door: &Door, request: Fingerprint) {
         let now = self.tools.clock.now();
         let mut table = self.table.lock();
-        let was = table.judge(now, request);
+        let was = table.treatment(now, request);
         let news = table.on_answer(now, request);
         drop(table);
-        let Some((reach, record)) = news else { return };
-        if was != Verdict::Watched {
+        let Some((audience, record)) = news else { return };
+        if was != Treatment::Watched {
             self.tools.metrics.suspects_cleared.inc();
             log::info!("suspect: mark={request} standing=clear by=answer");
         }
-        self.clone().tell(Some(door.id.service.clone()), vec![(reach, record)]);
+        self.clone().tell(Some(door.id.service.clone()), vec![(audience, record)]);
     }
 
     /// Takes a proved end of a door's backend server.
-    fn on_end(self: &Arc<Self>, door: &Door, ended: &Ended) {
+    fn on_end(self: &Arc<Self>, door: &Door, ended: &Crash) {
         self.tools.metrics.ends_at_work.inc();
         let now = self.tools.clock.now();
-        let news = self.table.lock().on_end(now, ended);
+        let news = self.table.lock().on_crash(now, ended);
         for (_, record) in &news {
             self.log_end(now, door, ended, record);
         }
         self.clone().tell(Some(door.id.service.clone()), news);
     }
 
-    fn log_end(&self, now: Timestamp, door: &Door, ended: &Ended, record: &Record) {
+    fn log_end(&self, now: Timestamp, door: &Door, ended: &Crash, record: &Record) {
         let Some(dropped) = self.log.lock().take(now, true) else { return };
         let Record { request, caller, ends, .. } = record;
         let standing = self.standing(now, *request);
@@ -114,19 +116,19 @@
             caller.0,
             door.id.name,
             ended.id.0,
-            ended.at_work.len(),
+            ended.in_flight.len(),
             ends.len(),
             ends.iter().filter(|end| end.alone).count(),
             standing.as_str(),
         );
     }
 
-    fn standing(&self, now: Timestamp, request: Fingerprint) -> Standing {
-        match self.table.lock().judge(now, request) {
-            Verdict::Clear => Standing::Clear,
-            Verdict::Watched => Standing::Watched,
-            Verdict::Alone => Standing::Alone,
-            Verdict::HeldBack(_) => Standing::HeldBack,
+    fn standing(&self, now: Timestamp, request: Fingerprint) -> Status {
+        match self.table.lock().treatment(now, request) {
+            Treatment::Clear => Status::Clear,
+            Treatment::Watched => Status::Watched,
+            Treatment::Isolated => Status::Isolated,
+            Treatment::Quarantined(_) => Status::Quarantined,
         }
     }
 
@@ -137,7 +139,7 @@
 
     fn show(&self) {
         let table = self.table.lock();
-        for standing in [Standing::Watched, Standing::Alone, Standing::HeldBack] {
+        for standing in [Status::Watched, Status::Isolated, Status::Quarantined] {
             let label = SuspectLabel { standing: standing.as_str() };
             let count = table.count(standing) as i64;
             self.tools.metrics.suspects.get_or_create(&label).set(count);
