--- a/crates/cherrystream-bench/src/quotas/mod.rs
+++ b/crates/cherrystream-bench/src/quotas/mod.rs
@@ -4,7 +4,7 @@
 
 use argh::FromArgs;
 use cherrystream_core::quota::{
-    LeaseBatch, LeaseRequest, Leases, Member, Members, Policy, Reply, Tolerance, Try, Verdict,
+    Decision, LeaseBatch, LeaseRequest, Leases, Member, Members, Policy, Reply, Tolerance, Try,
 };
 use cherrystream_core::units::Timestamp;
 use cherrystream_core::workspaces::Quota;
@@ -268,11 +268,11 @@
         let daemon = &mut self.daemons[n];
         let now = Timestamp(self.now - daemon.began);
         match daemon.policy.admit(now, &load.name, load.quota, turn) {
-            Verdict::Run(_) => {
+            Decision::Run(_) => {
                 load.ran.push(self.now);
             }
-            Verdict::Wait => daemon.waiting.push(workspace),
-            Verdict::Over(_) => self.refused += 1,
+            Decision::Wait => daemon.waiting.push(workspace),
+            Decision::Refuse(_) => self.refused += 1,
         }
     }
 
--- a/crates/cherrystream-bench/src/quotas/tally.rs
+++ b/crates/cherrystream-bench/src/quotas/tally.rs
@@ -1,8 +1,8 @@
 //! Tally, the policy that was weighed and not taken: each daemon runs requests at once and tells their count to one home, which says when the sum is too high.
 
 use cherrystream_core::quota::{
-    Charge, LeaseAnswer, LeaseBatch, LeaseRequest, Members, Over, Policy, Reply, Tolerance, Try,
-    Verdict,
+    Charge, Decision, LeaseAnswer, LeaseBatch, LeaseRequest, Members, OverQuota, Policy, Reply,
+    Tolerance, Try,
 };
 use cherrystream_core::units::Timestamp;
 use cherrystream_core::workspaces::Quota;
@@ -80,11 +80,17 @@
         self.quotas = quotas;
     }
 
-    fn admit(&mut self, now: Timestamp, workspace: &Arc<str>, quota: Quota, _turn: Try) -> Verdict {
+    fn admit(
+        &mut self,
+        now: Timestamp,
+        workspace: &Arc<str>,
+        quota: Quota,
+        _turn: Try,
+    ) -> Decision {
         let told = self.told.entry(workspace.clone()).or_default();
         told.quota = Some(quota);
         let over = |retry_after, answer_age, out_of_reach| {
-            Verdict::Over(Over { retry_after, answer_age, out_of_reach })
+            Decision::Refuse(OverQuota { retry_after, answer_age, out_of_reach })
         };
         if let Some((until, at)) = told.over.filter(|(until, _)| *until > now) {
             return over(until.since(now), now.since(at), false);
@@ -95,7 +101,7 @@
             return over(TELL_EVERY, Duration::ZERO, true);
         }
         told.untold += 1;
-        Verdict::Run(Charge { workspace: workspace.clone(), home: None })
+        Decision::Run(Charge { workspace: workspace.clone(), home: None })
     }
 
     fn give_back(&mut self, _now: Timestamp, charge: &Charge) {
--- a/crates/cherrystream-core/src/quota/leases.rs
+++ b/crates/cherrystream-core/src/quota/leases.rs
@@ -8,7 +8,7 @@
 use super::allocators::{self, Allocators};
 use super::workspace_leases::{Backoff, Deficit, WorkspaceLeases};
 use super::{
-    Charge, LeaseAnswer, LeaseBatch, LeaseRequest, Members, Policy, Reply, Tolerance, Try, Verdict,
+    Charge, Decision, LeaseAnswer, LeaseBatch, LeaseRequest, Members, Policy, Reply, Tolerance, Try,
 };
 use crate::units::Timestamp;
 use crate::workspaces::Quota;
@@ -107,7 +107,7 @@
 
     /// Admits a request without a lease while an allocator is unavailable: few daemons may, once
     /// per window each.
-    fn run_isolated(&mut self, now: Timestamp, workspace: &Arc<str>) -> Option<Verdict> {
+    fn run_isolated(&mut self, now: Timestamp, workspace: &Arc<str>) -> Option<Decision> {
         let window = self.tolerance.window;
         let leases = self.workspaces.get_mut(workspace)?;
         let ran = leases.ran_isolated_at.is_some_and(|at| now.since(at) <= window);
@@ -115,7 +115,7 @@
             return None;
         }
         leases.ran_isolated_at = Some(now);
-        Some(Verdict::Run(Charge { workspace: workspace.clone(), home: None }))
+        Some(Decision::Run(Charge { workspace: workspace.clone(), home: None }))
     }
 
     /// Returns the line that requests credits for a workspace, if one is due.
@@ -202,7 +202,7 @@
         self.allocators.set_quotas(quotas);
     }
 
-    fn admit(&mut self, now: Timestamp, workspace: &Arc<str>, quota: Quota, turn: Try) -> Verdict {
+    fn admit(&mut self, now: Timestamp, workspace: &Arc<str>, quota: Quota, turn: Try) -> Decision {
         let local = self.members.own.host.clone();
         self.active.insert(workspace.clone());
         let leases = self.prepare(now, workspace, quota);
@@ -216,16 +216,16 @@
                 self.ask_local(now, workspace, 1);
             }
         }
-        let Some(leases) = self.workspaces.get_mut(workspace) else { return Verdict::Wait };
+        let Some(leases) = self.workspaces.get_mut(workspace) else { return Decision::Wait };
         if let Some(allocator) = leases.take(now) {
-            return Verdict::Run(Charge { workspace: workspace.clone(), home: Some(allocator) });
+            return Decision::Run(Charge { workspace: workspace.clone(), home: Some(allocator) });
         }
         if leases.in_flight || leases.next_allocator(now).is_some() {
             leases.waiting += 1;
-            return Verdict::Wait;
+            return Decision::Wait;
         }
         let over = leases.over(now);
-        self.run_isolated(now, workspace).unwrap_or(Verdict::Over(over))
+        self.run_isolated(now, workspace).unwrap_or(Decision::Refuse(over))
     }
 
     fn give_back(&mut self, _now: Timestamp, charge: &Charge) {
--- a/crates/cherrystream-core/src/quota/mod.rs
+++ b/crates/cherrystream-core/src/quota/mod.rs
@@ -61,7 +61,7 @@
 
 /// Why a request is over the quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Over {
+pub struct OverQuota {
     /// Time after which a retry may be admitted.
     pub retry_after: Duration,
     /// Age of the allocator's answer behind the refusal.
@@ -72,11 +72,11 @@
 
 /// Decision on a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// The request may run.
     Run(Charge),
     /// The request is refused.
-    Over(Over),
+    Refuse(OverQuota),
     /// The decision is repeated when an answer arrives.
     Wait,
 }
@@ -158,7 +158,7 @@
     /// Sets the quotas in force, by workspace.
     fn set_quotas(&mut self, quotas: HashMap<Arc<str>, Quota>);
     /// Decides on a request.
-    fn admit(&mut self, now: Timestamp, workspace: &Arc<str>, quota: Quota, turn: Try) -> Verdict;
+    fn admit(&mut self, now: Timestamp, workspace: &Arc<str>, quota: Quota, turn: Try) -> Decision;
     /// Returns the credit of a request that did not run and never will.
     fn give_back(&mut self, now: Timestamp, charge: &Charge);
     /// Returns the batches that are due, each with the host to send it to.
--- a/crates/cherrystream-core/src/quota/workspace_leases.rs
+++ b/crates/cherrystream-core/src/quota/workspace_leases.rs
@@ -1,6 +1,6 @@
 //! Leases of one workspace at one daemon, and the last answers of its allocators.
 
-use super::{LeaseRequest, Over, QuotaMilli};
+use super::{LeaseRequest, OverQuota, QuotaMilli};
 use crate::units::Timestamp;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -179,11 +179,11 @@
     }
 
     /// Describes a refusal.
-    pub(super) fn over(&self, now: Timestamp) -> Over {
+    pub(super) fn over(&self, now: Timestamp) -> OverQuota {
         // Prefers allocators that answered: the others promise no credit.
         let backoffs = self.backoffs.values().filter(|b| b.until > now);
         let first = backoffs.min_by_key(|b| (b.unavailable, b.until));
-        Over {
+        OverQuota {
             retry_after: first.map_or(LEASE_VALIDITY, |b| b.until.since(now)),
             answer_age: first.map_or(Duration::ZERO, |b| now.since(b.received_at)),
             out_of_reach: self.is_out_of_reach(now),
--- a/crates/cherrystream-core/tests/quotas/world.rs
+++ b/crates/cherrystream-core/tests/quotas/world.rs
@@ -1,7 +1,7 @@
 //! Simulation of daemons that share quotas, on a network with delays, losses and partitions.
 
 use cherrystream_core::quota::{
-    LeaseBatch, Member, Members, Policy, Reply, Tolerance, Try, Verdict,
+    Decision, LeaseBatch, Member, Members, Policy, Reply, Tolerance, Try,
 };
 use cherrystream_core::units::Timestamp;
 use cherrystream_core::workspaces::Quota;
@@ -237,9 +237,9 @@
         let daemon = &mut self.daemons[n];
         while let Some(turn) = daemon.undecided.pop_front() {
             match daemon.policy.admit(now, &workspace(), self.quota, turn) {
-                Verdict::Run(_) => self.ran.push(self.now),
-                Verdict::Wait => daemon.waiting += 1,
-                Verdict::Over(over) => self.refused.push(Refusal {
+                Decision::Run(_) => self.ran.push(self.now),
+                Decision::Wait => daemon.waiting += 1,
+                Decision::Refuse(over) => self.refused.push(Refusal {
                     at: self.now,
                     retry_at: self.now + over.retry_after.as_micros() as u64,
                     out_of_reach: over.out_of_reach,
--- a/crates/cherrystream-daemon/src/quotas.rs
+++ b/crates/cherrystream-daemon/src/quotas.rs
@@ -7,7 +7,7 @@
 use crate::refusal::Refused;
 use cherrystream_core::log_budget::LogBudget;
 use cherrystream_core::quota::{
-    Charge, LeaseBatch, Leases, Member, Members, Over, Policy, Reply, Tolerance, Try, Verdict,
+    Charge, Decision, LeaseBatch, Leases, Member, Members, OverQuota, Policy, Reply, Tolerance, Try,
 };
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::routes::RouteIndex;
@@ -133,7 +133,11 @@
         }
     }
 
-    async fn decide(self: &Arc<Self>, workspace: &Arc<str>, quota: Quota) -> Result<Charge, Over> {
+    async fn decide(
+        self: &Arc<Self>,
+        workspace: &Arc<str>,
+        quota: Quota,
+    ) -> Result<Charge, OverQuota> {
         let began = self.tools.clock.now();
         let mut turn = Try::First;
         loop {
@@ -143,16 +147,16 @@
             let now = self.tools.clock.now();
             let verdict = self.policy.lock().admit(now, workspace, quota, turn);
             match verdict {
-                Verdict::Run(charge) => return Ok(charge),
-                Verdict::Over(over) => return Err(over),
-                Verdict::Wait => {}
+                Decision::Run(charge) => return Ok(charge),
+                Decision::Refuse(over) => return Err(over),
+                Decision::Wait => {}
             }
             turn = Try::Again;
             self.send_due();
             let left = DECIDED_WITHIN.saturating_sub(now.since(began));
             if tokio::time::timeout(left, answered).await.is_err() {
                 let waited = self.tools.clock.now().since(began);
-                return Err(Over {
+                return Err(OverQuota {
                     retry_after: DECIDED_WITHIN,
                     answer_age: waited,
                     out_of_reach: true,
@@ -222,7 +226,7 @@
         &self,
         workspace: &NamedWorkspace,
         id: Option<&str>,
-        over: &Over,
+        over: &OverQuota,
         began: Timestamp,
     ) {
         let now = self.tools.clock.now();
