--- a/crates/cherrystream-bench/src/quotas/tally.rs
+++ b/crates/cherrystream-bench/src/quotas/tally.rs
@@ -101,7 +101,7 @@
             return over(TELL_EVERY, Duration::ZERO, true);
         }
         told.untold += 1;
-        Decision::Run(Charge { workspace: workspace.clone(), home: None })
+        Decision::Run(Charge { workspace: workspace.clone(), allocator: None })
     }
 
     fn give_back(&mut self, _now: Timestamp, charge: &Charge) {
@@ -122,7 +122,7 @@
             if nothing || told.on_the_way > 0 {
                 continue;
             }
-            let Some(home) = self.members.only_home(workspace) else { continue };
+            let Some(home) = self.members.sole_allocator(workspace) else { continue };
             let Some(quota) = told.quota else { continue };
             let (workspace, quota) = (workspace.clone(), quota.into());
             let (requests, back) =
--- a/crates/cherrystream-core/src/quota/leases.rs
+++ b/crates/cherrystream-core/src/quota/leases.rs
@@ -115,7 +115,7 @@
             return None;
         }
         leases.ran_isolated_at = Some(now);
-        Some(Decision::Run(Charge { workspace: workspace.clone(), home: None }))
+        Some(Decision::Run(Charge { workspace: workspace.clone(), allocator: None }))
     }
 
     /// Returns the line that requests credits for a workspace, if one is due.
@@ -218,7 +218,10 @@
         }
         let Some(leases) = self.workspaces.get_mut(workspace) else { return Decision::Wait };
         if let Some(allocator) = leases.take(now) {
-            return Decision::Run(Charge { workspace: workspace.clone(), home: Some(allocator) });
+            return Decision::Run(Charge {
+                workspace: workspace.clone(),
+                allocator: Some(allocator),
+            });
         }
         if leases.in_flight || leases.next_allocator(now).is_some() {
             leases.waiting += 1;
@@ -229,7 +232,7 @@
     }
 
     fn give_back(&mut self, _now: Timestamp, charge: &Charge) {
-        let Some(allocator) = &charge.home else { return };
+        let Some(allocator) = &charge.allocator else { return };
         let Some(leases) = self.workspaces.get_mut(&charge.workspace) else { return };
         *leases.unused.entry(allocator.clone()).or_default() += 1;
         self.active.insert(charge.workspace.clone());
--- a/crates/cherrystream-core/src/quota/members.rs
+++ b/crates/cherrystream-core/src/quota/members.rs
@@ -85,7 +85,7 @@
     }
 
     /// Returns the one allocator of a workspace, chosen among the hosts of all failure domains.
-    pub fn only_home(&self, workspace: &str) -> Option<Arc<str>> {
+    pub fn sole_allocator(&self, workspace: &str) -> Option<Arc<str>> {
         top_ranked(workspace, self.eligible.values().flatten())
     }
 
--- a/crates/cherrystream-core/src/quota/mod.rs
+++ b/crates/cherrystream-core/src/quota/mod.rs
@@ -56,7 +56,7 @@
     /// Workspace whose quota it counts against.
     pub workspace: Arc<str>,
     /// Host of the allocator that granted it; `None` if the request ran without a lease.
-    pub home: Option<Arc<str>>,
+    pub allocator: Option<Arc<str>>,
 }
 
 /// Why a request is over the quota.
--- a/crates/cherrystream-daemon/src/quotas.rs
+++ b/crates/cherrystream-daemon/src/quotas.rs
@@ -122,7 +122,7 @@
         let began = self.tools.clock.now();
         match self.decide(&workspace.name, quota).await {
             Ok(charge) => {
-                metrics.on_used(&workspace.name, charge.home.is_none());
+                metrics.on_used(&workspace.name, charge.allocator.is_none());
                 Ok(Some(charge))
             }
             Err(over) => {
