--- a/crates/cherrystream-bench/src/quotas/tally.rs
+++ b/crates/cherrystream-bench/src/quotas/tally.rs
@@ -63,11 +63,11 @@
         bucket.level -= f64::from(line.requests);
         bucket.at = now;
         if bucket.level > 0.0 {
-            return LeaseAnswer::Granted { credits: line.requests, lacking: 0 };
+            return LeaseAnswer::Granted { credits: line.requests, deficit: 0 };
         }
         let lacking = (1.0 - bucket.level) / quota.per_second;
         let away = Duration::from_secs_f64(lacking).max(AWAY_AT_LEAST);
-        LeaseAnswer::OverForMs(u32::try_from(away.as_millis()).unwrap_or(u32::MAX))
+        LeaseAnswer::RetryAfterMs(u32::try_from(away.as_millis()).unwrap_or(u32::MAX))
     }
 }
 
@@ -155,12 +155,12 @@
             let Some(told) = self.told.get_mut(&line.workspace) else { continue };
             told.on_the_way = 0;
             match reply.and_then(|reply| reply.words.get(n)) {
-                Some(LeaseAnswer::OverForMs(ms)) => {
+                Some(LeaseAnswer::RetryAfterMs(ms)) => {
                     told.over = Some((now + Duration::from_millis((*ms).into()), now));
                 }
                 Some(LeaseAnswer::Granted { .. }) => told.over = None,
                 // Counted once too often rather than never.
-                Some(LeaseAnswer::NotHome) | None => told.untold += line.requests,
+                Some(LeaseAnswer::NotAllocator) | None => told.untold += line.requests,
             }
         }
     }
--- a/crates/cherrystream-core/src/quota/allocators.rs
+++ b/crates/cherrystream-core/src/quota/allocators.rs
@@ -100,7 +100,7 @@
         let configured = self.quotas.get(&line.workspace).copied();
         let quota = configured.unwrap_or_else(|| line.quota.into());
         if !is_allocator(members, &self.tolerance, &line.workspace, quota) {
-            return LeaseAnswer::NotHome;
+            return LeaseAnswer::NotAllocator;
         }
         let size = size(members, &self.tolerance, quota);
         let max_prefetch = max_prefetch(members, &self.tolerance, quota);
@@ -108,10 +108,10 @@
         let bucket = self.bucket(now, size, &line.workspace, quota);
         bucket.refill(now, size);
         bucket.give_back(line.back, size);
-        let lacking = bucket.deficit(size);
-        if !line.knows && f64::from(lacking) > max_deficit {
+        let deficit = bucket.deficit(size);
+        if !line.knows && f64::from(deficit) > max_deficit {
             // Other buckets may be full: the daemon compares the deficits before it asks again.
-            return LeaseAnswer::Granted { credits: 0, lacking };
+            return LeaseAnswer::Granted { credits: 0, deficit };
         }
         let available = bucket.level().max(0.0) as u32;
         let needed = line.requests.min(available);
@@ -124,10 +124,10 @@
         }
         let credits = needed + prefetched;
         if credits > 0 || line.requests == 0 {
-            return LeaseAnswer::Granted { credits, lacking: bucket.deficit(size) };
+            return LeaseAnswer::Granted { credits, deficit: bucket.deficit(size) };
         }
         let retry_after = bucket.time_until(1.0, size).max(MIN_RETRY_AFTER);
-        LeaseAnswer::OverForMs(u32::try_from(retry_after.as_millis()).unwrap_or(u32::MAX))
+        LeaseAnswer::RetryAfterMs(u32::try_from(retry_after.as_millis()).unwrap_or(u32::MAX))
     }
 
     fn bucket(
--- a/crates/cherrystream-core/src/quota/leases.rs
+++ b/crates/cherrystream-core/src/quota/leases.rs
@@ -304,21 +304,21 @@
     answer: LeaseAnswer,
 ) {
     let backoff = match answer {
-        LeaseAnswer::Granted { credits, lacking } => {
+        LeaseAnswer::Granted { credits, deficit } => {
             leases.backoffs.remove(allocator);
             leases
                 .deficits
-                .insert(allocator.clone(), Deficit { credits: lacking, received_at: now });
+                .insert(allocator.clone(), Deficit { credits: deficit, received_at: now });
             if credits > 0 {
                 leases.add(allocator, credits, sent);
             }
             return;
         }
-        LeaseAnswer::OverForMs(ms) => {
+        LeaseAnswer::RetryAfterMs(ms) => {
             let until = now + Duration::from_millis(ms.into());
             Backoff { until, received_at: now, unavailable: false }
         }
-        LeaseAnswer::NotHome => {
+        LeaseAnswer::NotAllocator => {
             Backoff { until: now + NOT_ALLOCATOR_BACKOFF, received_at: now, unavailable: true }
         }
     };
--- a/crates/cherrystream-core/src/quota/mod.rs
+++ b/crates/cherrystream-core/src/quota/mod.rs
@@ -136,12 +136,12 @@
         /// Number of credits; may be 0.
         credits: u32,
         /// Credits missing from the allocator's full bucket.
-        lacking: u32,
+        deficit: u32,
     },
     /// The quota is used up; a retry may succeed after this time in milliseconds.
-    OverForMs(u32),
+    RetryAfterMs(u32),
     /// The answering daemon is not an allocator of this workspace.
-    NotHome,
+    NotAllocator,
 }
 
 /// Answers to the lines of a batch, in their order.
