--- a/crates/cherrystream-bench/src/quotas/tally.rs
+++ b/crates/cherrystream-bench/src/quotas/tally.rs
@@ -59,7 +59,7 @@
         let fresh = || Bucket { level: quota.burst, at: now };
         let bucket = self.buckets.entry(line.workspace.clone()).or_insert_with(fresh);
         let added = quota.per_second * now.since(bucket.at).as_secs_f64();
-        bucket.level = (bucket.level + added + f64::from(line.back)).min(depth);
+        bucket.level = (bucket.level + added + f64::from(line.unused)).min(depth);
         bucket.level -= f64::from(line.requests);
         bucket.at = now;
         if bucket.level > 0.0 {
@@ -125,10 +125,17 @@
             let Some(home) = self.members.sole_allocator(workspace) else { continue };
             let Some(quota) = told.quota else { continue };
             let (workspace, quota) = (workspace.clone(), quota.into());
-            let (requests, back) =
+            let (requests, unused) =
                 (std::mem::take(&mut told.untold), std::mem::take(&mut told.back));
             told.on_the_way = requests;
-            let line = LeaseRequest { workspace, quota, requests, ahead: 0, knows: true, back };
+            let line = LeaseRequest {
+                workspace,
+                quota,
+                requests,
+                prefetch: 0,
+                deficit_considered: true,
+                unused,
+            };
             let is_own = home == self.members.own.host;
             let batch = if is_own { &mut at_home } else { batches.entry(home).or_default() };
             batch.lines.push(line);
--- a/crates/cherrystream-core/src/quota/allocators.rs
+++ b/crates/cherrystream-core/src/quota/allocators.rs
@@ -107,16 +107,16 @@
         let max_deficit = max_deficit(members, &self.tolerance, quota);
         let bucket = self.bucket(now, size, &line.workspace, quota);
         bucket.refill(now, size);
-        bucket.give_back(line.back, size);
+        bucket.give_back(line.unused, size);
         let deficit = bucket.deficit(size);
-        if !line.knows && f64::from(deficit) > max_deficit {
+        if !line.deficit_considered && f64::from(deficit) > max_deficit {
             // Other buckets may be full: the daemon compares the deficits before it asks again.
             return LeaseAnswer::Granted { credits: 0, deficit };
         }
         let available = bucket.level().max(0.0) as u32;
         let needed = line.requests.min(available);
         let prefetch_left = (max_prefetch - bucket.leased()).max(0.0) as u32;
-        let prefetched = line.ahead.min(available - needed).min(prefetch_left);
+        let prefetched = line.prefetch.min(available - needed).min(prefetch_left);
         bucket.charge(needed.into());
         if prefetched > 0 {
             let expires_at = now + LEASE_VALIDITY + CLOCK_MARGIN;
--- a/crates/cherrystream-core/src/quota/leases.rs
+++ b/crates/cherrystream-core/src/quota/leases.rs
@@ -98,10 +98,13 @@
     fn ask_local(&mut self, now: Timestamp, workspace: &Arc<str>, requests: u32) {
         let local = self.members.own.host.clone();
         let Some(leases) = self.workspaces.get_mut(workspace) else { return };
-        let ahead = leases.demand.within_lease(now);
+        let prefetch = leases.demand.within_lease(now);
         let Some(line) = leases.line(now, workspace, &local) else { return };
-        let answer =
-            self.allocators.answer(now, &self.members, &LeaseRequest { requests, ahead, ..line });
+        let answer = self.allocators.answer(
+            now,
+            &self.members,
+            &LeaseRequest { requests, prefetch, ..line },
+        );
         record_answer(leases, now, now, &local, answer);
     }
 
@@ -130,8 +133,8 @@
         if leases.in_flight {
             return None;
         }
-        let ahead = leases.demand.within_lease(now).saturating_sub(leases.credits());
-        let wants_prefetch = ahead > leases.credits() && leases.prefetch_from <= now;
+        let prefetch = leases.demand.within_lease(now).saturating_sub(leases.credits());
+        let wants_prefetch = prefetch > leases.credits() && leases.prefetch_from <= now;
         let due = leases.waiting > 0 || wants_prefetch;
         let allocator = leases.next_allocator(now).filter(|_| due)?.clone();
         if allocator == local {
@@ -144,7 +147,7 @@
         leases.in_flight = true;
         leases.prefetch_from = now + PREFETCH_INTERVAL;
         let requests = leases.waiting;
-        Some((allocator, LeaseRequest { requests, ahead, ..line }))
+        Some((allocator, LeaseRequest { requests, prefetch, ..line }))
     }
 
     /// Returns the lines that only return unused credits.
@@ -274,7 +277,7 @@
             self.unreachable.insert(allocator.clone(), now + UNREACHABLE_BACKOFF);
         }
         for (n, line) in batch.lines.iter().enumerate() {
-            if line.requests == 0 && line.ahead == 0 {
+            if line.requests == 0 && line.prefetch == 0 {
                 continue;
             }
             let Some(leases) = self.workspaces.get_mut(&line.workspace) else { continue };
--- a/crates/cherrystream-core/src/quota/mod.rs
+++ b/crates/cherrystream-core/src/quota/mod.rs
@@ -114,11 +114,11 @@
     /// Requests that wait for credits, or that ran without them since the last batch.
     pub requests: u32,
     /// Credits wanted for expected requests.
-    pub ahead: u32,
+    pub prefetch: u32,
     /// Whether the daemon took the allocator's recent deficit into account.
-    pub knows: bool,
+    pub deficit_considered: bool,
     /// Unused credits returned to the allocator.
-    pub back: u32,
+    pub unused: u32,
 }
 
 /// A batch of requests from one daemon to another.
--- a/crates/cherrystream-core/src/quota/workspace_leases.rs
+++ b/crates/cherrystream-core/src/quota/workspace_leases.rs
@@ -108,14 +108,14 @@
         workspace: &Arc<str>,
         allocator: &Arc<str>,
     ) -> Option<LeaseRequest> {
-        let back = self.unused.remove(allocator).unwrap_or_default();
+        let unused = self.unused.remove(allocator).unwrap_or_default();
         Some(LeaseRequest {
             workspace: workspace.clone(),
             quota: self.quota?,
             requests: 0,
-            ahead: 0,
-            knows: self.allocators.len() < 2 || self.is_deficit_known(now, allocator),
-            back,
+            prefetch: 0,
+            deficit_considered: self.allocators.len() < 2 || self.is_deficit_known(now, allocator),
+            unused,
         })
     }
 
