--- a/crates/cherrystream-bench/src/quotas/mod.rs
+++ b/crates/cherrystream-bench/src/quotas/mod.rs
@@ -4,7 +4,7 @@
 
 use argh::FromArgs;
 use cherrystream_core::quota::{
-    Decision, LeaseBatch, LeaseRequest, Leases, Member, Members, Policy, Reply, Tolerance, Try,
+    Decision, LeaseBatch, LeaseReply, LeaseRequest, Leases, Member, Members, Policy, Tolerance, Try,
 };
 use cherrystream_core::units::Timestamp;
 use cherrystream_core::workspaces::Quota;
@@ -127,7 +127,7 @@
         sent: u64,
         number: u64,
         batch: LeaseBatch,
-        reply: Option<Reply>,
+        reply: Option<LeaseReply>,
     },
 }
 
--- a/crates/cherrystream-bench/src/quotas/tally.rs
+++ b/crates/cherrystream-bench/src/quotas/tally.rs
@@ -1,8 +1,8 @@
 //! Tally, the policy that was weighed and not taken: each daemon runs requests at once and tells their count to one home, which says when the sum is too high.
 
 use cherrystream_core::quota::{
-    Charge, Decision, LeaseAnswer, LeaseBatch, LeaseRequest, Members, OverQuota, Policy, Reply,
-    Tolerance, Try,
+    Charge, Decision, LeaseAnswer, LeaseBatch, LeaseReply, LeaseRequest, Members, OverQuota,
+    Policy, Tolerance, Try,
 };
 use cherrystream_core::units::Timestamp;
 use cherrystream_core::workspaces::Quota;
@@ -146,8 +146,8 @@
         batches.into_iter().collect()
     }
 
-    fn answer(&mut self, now: Timestamp, batch: &LeaseBatch) -> Reply {
-        Reply { words: batch.lines.iter().map(|line| self.count(now, line)).collect() }
+    fn answer(&mut self, now: Timestamp, batch: &LeaseBatch) -> LeaseReply {
+        LeaseReply { answers: batch.lines.iter().map(|line| self.count(now, line)).collect() }
     }
 
     fn replied(
@@ -156,12 +156,12 @@
         _sent: Timestamp,
         _home: &Arc<str>,
         batch: &LeaseBatch,
-        reply: Option<&Reply>,
+        reply: Option<&LeaseReply>,
     ) {
         for (n, line) in batch.lines.iter().enumerate() {
             let Some(told) = self.told.get_mut(&line.workspace) else { continue };
             told.on_the_way = 0;
-            match reply.and_then(|reply| reply.words.get(n)) {
+            match reply.and_then(|reply| reply.answers.get(n)) {
                 Some(LeaseAnswer::RetryAfterMs(ms)) => {
                     told.over = Some((now + Duration::from_millis((*ms).into()), now));
                 }
--- a/crates/cherrystream-core/src/quota/leases.rs
+++ b/crates/cherrystream-core/src/quota/leases.rs
@@ -8,7 +8,8 @@
 use super::allocators::{self, Allocators};
 use super::workspace_leases::{Backoff, Deficit, WorkspaceLeases};
 use super::{
-    Charge, Decision, LeaseAnswer, LeaseBatch, LeaseRequest, Members, Policy, Reply, Tolerance, Try,
+    Charge, Decision, LeaseAnswer, LeaseBatch, LeaseReply, LeaseRequest, Members, Policy,
+    Tolerance, Try,
 };
 use crate::units::Timestamp;
 use crate::workspaces::Quota;
@@ -259,10 +260,11 @@
         batches.into_iter().collect()
     }
 
-    fn answer(&mut self, now: Timestamp, batch: &LeaseBatch) -> Reply {
+    fn answer(&mut self, now: Timestamp, batch: &LeaseBatch) -> LeaseReply {
         let (allocators, members) = (&mut self.allocators, &self.members);
-        let words = batch.lines.iter().map(|line| allocators.answer(now, members, line)).collect();
-        Reply { words }
+        let answers =
+            batch.lines.iter().map(|line| allocators.answer(now, members, line)).collect();
+        LeaseReply { answers }
     }
 
     fn replied(
@@ -271,7 +273,7 @@
         sent: Timestamp,
         allocator: &Arc<str>,
         batch: &LeaseBatch,
-        reply: Option<&Reply>,
+        reply: Option<&LeaseReply>,
     ) {
         if reply.is_none() {
             self.unreachable.insert(allocator.clone(), now + UNREACHABLE_BACKOFF);
@@ -283,7 +285,7 @@
             let Some(leases) = self.workspaces.get_mut(&line.workspace) else { continue };
             leases.in_flight = false;
             leases.waiting = 0;
-            match reply.and_then(|reply| reply.words.get(n)) {
+            match reply.and_then(|reply| reply.answers.get(n)) {
                 Some(answer) => record_answer(leases, now, sent, allocator, *answer),
                 None => {
                     let backoff = Backoff {
--- a/crates/cherrystream-core/src/quota/mod.rs
+++ b/crates/cherrystream-core/src/quota/mod.rs
@@ -146,9 +146,9 @@
 
 /// Answers to the lines of a batch, in their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reply {
+pub struct LeaseReply {
     /// One answer per line.
-    pub words: Vec<LeaseAnswer>,
+    pub answers: Vec<LeaseAnswer>,
 }
 
 /// Enforces quotas at one daemon.
@@ -164,7 +164,7 @@
     /// Returns the batches that are due, each with the host to send it to.
     fn outgoing(&mut self, now: Timestamp) -> Vec<(Arc<str>, LeaseBatch)>;
     /// Answers a batch of another daemon.
-    fn answer(&mut self, now: Timestamp, batch: &LeaseBatch) -> Reply;
+    fn answer(&mut self, now: Timestamp, batch: &LeaseBatch) -> LeaseReply;
     /// Handles the reply to a batch that was sent at `sent`; `None` if no reply arrived.
     fn replied(
         &mut self,
@@ -172,6 +172,6 @@
         sent: Timestamp,
         allocator: &Arc<str>,
         batch: &LeaseBatch,
-        reply: Option<&Reply>,
+        reply: Option<&LeaseReply>,
     );
 }
--- a/crates/cherrystream-core/tests/quotas/world.rs
+++ b/crates/cherrystream-core/tests/quotas/world.rs
@@ -1,7 +1,7 @@
 //! Simulation of daemons that share quotas, on a network with delays, losses and partitions.
 
 use cherrystream_core::quota::{
-    Decision, LeaseBatch, Member, Members, Policy, Reply, Tolerance, Try,
+    Decision, LeaseBatch, LeaseReply, Member, Members, Policy, Tolerance, Try,
 };
 use cherrystream_core::units::Timestamp;
 use cherrystream_core::workspaces::Quota;
@@ -40,9 +40,28 @@
 }
 
 enum Message {
-    Request { from: usize, to: usize, sent: Timestamp, number: u64, batch: LeaseBatch },
-    Reply { from: usize, to: usize, sent: Timestamp, number: u64, batch: LeaseBatch, reply: Reply },
-    TimedOut { to: usize, allocator: usize, sent: Timestamp, number: u64, batch: LeaseBatch },
+    Request {
+        from: usize,
+        to: usize,
+        sent: Timestamp,
+        number: u64,
+        batch: LeaseBatch,
+    },
+    Reply {
+        from: usize,
+        to: usize,
+        sent: Timestamp,
+        number: u64,
+        batch: LeaseBatch,
+        reply: LeaseReply,
+    },
+    TimedOut {
+        to: usize,
+        allocator: usize,
+        sent: Timestamp,
+        number: u64,
+        batch: LeaseBatch,
+    },
 }
 
 pub struct World {
--- a/crates/cherrystream-daemon/src/metrics/quotas.rs
+++ b/crates/cherrystream-daemon/src/metrics/quotas.rs
@@ -1,6 +1,6 @@
 //! Metrics of quotas. Only the busiest workspaces are named, so that their number is bounded.
 
-use cherrystream_core::quota::{LeaseAnswer, LeaseBatch, Reply};
+use cherrystream_core::quota::{LeaseAnswer, LeaseBatch, LeaseReply};
 use parking_lot::Mutex;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -102,8 +102,8 @@
     }
 
     /// Notes an answer to another daemon.
-    pub fn on_answer(&self, batch: &LeaseBatch, reply: &Reply) {
-        for (line, word) in batch.lines.iter().zip(&reply.words) {
+    pub fn on_answer(&self, batch: &LeaseBatch, reply: &LeaseReply) {
+        for (line, word) in batch.lines.iter().zip(&reply.answers) {
             let LeaseAnswer::Granted { credits, .. } = word else { continue };
             let label = self.label(&line.workspace, u64::from(*credits));
             self.granted.get_or_create(&label).inc_by(u64::from(*credits));
--- a/crates/cherrystream-daemon/src/quotas.rs
+++ b/crates/cherrystream-daemon/src/quotas.rs
@@ -7,7 +7,8 @@
 use crate::refusal::Refused;
 use cherrystream_core::log_budget::LogBudget;
 use cherrystream_core::quota::{
-    Charge, Decision, LeaseBatch, Leases, Member, Members, OverQuota, Policy, Reply, Tolerance, Try,
+    Charge, Decision, LeaseBatch, LeaseReply, Leases, Member, Members, OverQuota, Policy,
+    Tolerance, Try,
 };
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::routes::RouteIndex;
@@ -211,7 +212,7 @@
         self.answered.notify_waiters();
     }
 
-    async fn ask(&self, home: &Arc<str>, batch: &LeaseBatch) -> Option<Reply> {
+    async fn ask(&self, home: &Arc<str>, batch: &LeaseBatch) -> Option<LeaseReply> {
         let held = self.tools.held.get();
         let address = &held.shared.hosts.get(&**home)?.peer_address;
         let req = request(address, batch, self.tools.key.as_ref())?;
