--- a/crates/cherrystream-bench/src/quotas/mod.rs
+++ b/crates/cherrystream-bench/src/quotas/mod.rs
@@ -381,7 +381,7 @@
         |n: usize| load.ran.partition_point(|at| *at < load.ran[n] + window.as_micros() as u64);
     let most = (0..load.ran.len()).map(|n| ends(n) - n).max().unwrap_or(0) as f64;
     let quota = load.quota.per_second * window.as_secs_f64() + load.quota.burst;
-    (most - quota) / tolerance().room(load.quota)
+    (most - quota) / tolerance().max_excess(load.quota)
 }
 
 fn member(n: usize) -> Member {
--- a/crates/cherrystream-bench/src/quotas/tally.rs
+++ b/crates/cherrystream-bench/src/quotas/tally.rs
@@ -55,7 +55,7 @@
     fn count(&mut self, now: Timestamp, line: &LeaseRequest) -> LeaseAnswer {
         let held = self.quotas.get(&line.workspace).copied();
         let quota = held.unwrap_or_else(|| line.quota.into());
-        let depth = quota.burst + EXTRA_DEPTH_SHARE * self.tolerance.room(quota);
+        let depth = quota.burst + EXTRA_DEPTH_SHARE * self.tolerance.max_excess(quota);
         let fresh = || Bucket { level: quota.burst, at: now };
         let bucket = self.buckets.entry(line.workspace.clone()).or_insert_with(fresh);
         let added = quota.per_second * now.since(bucket.at).as_secs_f64();
--- a/crates/cherrystream-core/src/quota/allocators.rs
+++ b/crates/cherrystream-core/src/quota/allocators.rs
@@ -44,7 +44,7 @@
 
 /// Returns the number of allocators of a workspace, at most one per failure domain.
 pub(super) fn count(members: &Members, tolerance: &Tolerance, quota: Quota) -> usize {
-    let depth = quota.burst + EXTRA_DEPTH_SHARE * tolerance.room(quota);
+    let depth = quota.burst + EXTRA_DEPTH_SHARE * tolerance.max_excess(quota);
     let max_count = (depth / MIN_DEPTH) as usize;
     max_count.clamp(1, members.domains().max(1))
 }
@@ -52,7 +52,7 @@
 /// Returns the size of each allocator's bucket.
 pub(super) fn size(members: &Members, tolerance: &Tolerance, quota: Quota) -> Size {
     let allocators = count(members, tolerance, quota) as f64;
-    let depth = (quota.burst + EXTRA_DEPTH_SHARE * tolerance.room(quota)) / allocators;
+    let depth = (quota.burst + EXTRA_DEPTH_SHARE * tolerance.max_excess(quota)) / allocators;
     Size { per_second: quota.per_second / allocators, depth: depth.max(1.0) }
 }
 
@@ -60,13 +60,13 @@
 /// of the others discard refills; this loss must stay below the depth beyond the burst.
 pub(super) fn max_deficit(members: &Members, tolerance: &Tolerance, quota: Quota) -> f64 {
     let allocators = count(members, tolerance, quota) as f64;
-    EXTRA_DEPTH_SHARE * tolerance.room(quota) / allocators * MAX_LOSS_SHARE
+    EXTRA_DEPTH_SHARE * tolerance.max_excess(quota) / allocators * MAX_LOSS_SHARE
 }
 
 /// Returns the number of credits that may be granted for expected requests.
 fn max_prefetch(members: &Members, tolerance: &Tolerance, quota: Quota) -> f64 {
     let allocators = count(members, tolerance, quota) as f64;
-    EXTRA_DEPTH_SHARE * tolerance.room(quota) / allocators * PREFETCH_SHARE
+    EXTRA_DEPTH_SHARE * tolerance.max_excess(quota) / allocators * PREFETCH_SHARE
 }
 
 impl Allocators {
@@ -139,7 +139,7 @@
     ) -> &mut Bucket {
         // Previous allocators may have granted all credits by the time this one started.
         let allocators = quota.per_second / size.per_second;
-        let initial = INITIAL_LEVEL_SHARE * self.tolerance.room(quota) / allocators;
+        let initial = INITIAL_LEVEL_SHARE * self.tolerance.max_excess(quota) / allocators;
         let level = initial + size.per_second * now.since(self.members_since).as_secs_f64();
         let entry = self.buckets.entry(workspace.clone());
         let used = entry.or_insert_with(|| (Bucket::new(now, level, size), now));
@@ -160,7 +160,7 @@
             let Some(quota) = quotas.get(workspace) else { return idle < min_idle };
             // A new bucket may be full at once, so a dropped one must be full too.
             let refilled = quota.per_second * idle.as_secs_f64();
-            idle < min_idle || refilled < quota.burst + tolerance.room(*quota)
+            idle < min_idle || refilled < quota.burst + tolerance.max_excess(*quota)
         });
     }
 }
--- a/crates/cherrystream-core/src/quota/leases.rs
+++ b/crates/cherrystream-core/src/quota/leases.rs
@@ -77,7 +77,7 @@
             let size = allocators::size(&self.members, &self.tolerance, quota);
             leases.allocator_per_second = size.per_second;
             leases.max_deficit = allocators::max_deficit(&self.members, &self.tolerance, quota);
-            let max_rank = (ISOLATED_SHARE * self.tolerance.room(quota)) as usize;
+            let max_rank = (ISOLATED_SHARE * self.tolerance.max_excess(quota)) as usize;
             leases.may_run_isolated = self.members.is_ranked_within(workspace, max_rank);
         }
         for allocator in &leases.allocators {
--- a/crates/cherrystream-core/src/quota/mod.rs
+++ b/crates/cherrystream-core/src/quota/mod.rs
@@ -35,7 +35,7 @@
 
 impl Tolerance {
     /// Returns the requests beyond its quota that a workspace may send within a window.
-    pub fn room(&self, quota: Quota) -> f64 {
+    pub fn max_excess(&self, quota: Quota) -> f64 {
         let allowed = quota.per_second * self.window.as_secs_f64() + quota.burst;
         self.over * allowed + self.slack
     }
--- a/crates/cherrystream-core/tests/quotas/world.rs
+++ b/crates/cherrystream-core/tests/quotas/world.rs
@@ -295,6 +295,6 @@
     /// Returns the number of requests allowed within a window.
     pub fn allowed(&self) -> f64 {
         let window = self.tolerance.window.as_secs_f64();
-        self.quota.per_second * window + self.quota.burst + self.tolerance.room(self.quota)
+        self.quota.per_second * window + self.quota.burst + self.tolerance.max_excess(self.quota)
     }
 }
