--- a/crates/cherrystream-bench/src/quotas/mod.rs
+++ b/crates/cherrystream-bench/src/quotas/mod.rs
@@ -347,7 +347,7 @@
                 }
                 let sent = Timestamp(sent.saturating_sub(began));
                 let policy = &mut self.daemons[to].policy;
-                policy.replied(now, sent, &member(home).host, &batch, reply.as_ref());
+                policy.on_reply(now, sent, &member(home).host, &batch, reply.as_ref());
                 for workspace in std::mem::take(&mut self.daemons[to].waiting) {
                     self.decide(to, workspace, Try::Again);
                 }
--- a/crates/cherrystream-bench/src/quotas/tally.rs
+++ b/crates/cherrystream-bench/src/quotas/tally.rs
@@ -142,7 +142,7 @@
         }
         let reply = self.answer(now, &at_home);
         let own = self.members.own.host.clone();
-        self.replied(now, now, &own, &at_home, Some(&reply));
+        self.on_reply(now, now, &own, &at_home, Some(&reply));
         batches.into_iter().collect()
     }
 
@@ -150,7 +150,7 @@
         LeaseReply { answers: batch.lines.iter().map(|line| self.count(now, line)).collect() }
     }
 
-    fn replied(
+    fn on_reply(
         &mut self,
         now: Timestamp,
         _sent: Timestamp,
--- a/crates/cherrystream-core/src/quota/leases.rs
+++ b/crates/cherrystream-core/src/quota/leases.rs
@@ -267,7 +267,7 @@
         LeaseReply { answers }
     }
 
-    fn replied(
+    fn on_reply(
         &mut self,
         now: Timestamp,
         sent: Timestamp,
--- a/crates/cherrystream-core/src/quota/mod.rs
+++ b/crates/cherrystream-core/src/quota/mod.rs
@@ -166,7 +166,7 @@
     /// Answers a batch of another daemon.
     fn answer(&mut self, now: Timestamp, batch: &LeaseBatch) -> LeaseReply;
     /// Handles the reply to a batch that was sent at `sent`; `None` if no reply arrived.
-    fn replied(
+    fn on_reply(
         &mut self,
         now: Timestamp,
         sent: Timestamp,
--- a/crates/cherrystream-core/tests/quotas/world.rs
+++ b/crates/cherrystream-core/tests/quotas/world.rs
@@ -220,14 +220,14 @@
             Message::Reply { from, to, sent, number, batch, reply } => {
                 if self.complete(number) {
                     let policy = &mut self.daemons[to].policy;
-                    policy.replied(now, sent, &name(from), &batch, Some(&reply));
+                    policy.on_reply(now, sent, &name(from), &batch, Some(&reply));
                     self.retry_waiting(to);
                 }
             }
             Message::TimedOut { to, allocator, sent, number, batch } => {
                 if self.complete(number) {
                     let policy = &mut self.daemons[to].policy;
-                    policy.replied(now, sent, &name(allocator), &batch, None);
+                    policy.on_reply(now, sent, &name(allocator), &batch, None);
                     self.retry_waiting(to);
                 }
             }
--- a/crates/cherrystream-daemon/src/quotas.rs
+++ b/crates/cherrystream-daemon/src/quotas.rs
@@ -208,7 +208,7 @@
         {
             log::info!("quota: home={home} outcome=no-answer lines_dropped={dropped}");
         }
-        self.policy.lock().replied(now, sent, &home, &batch, reply.as_ref());
+        self.policy.lock().on_reply(now, sent, &home, &batch, reply.as_ref());
         self.answered.notify_waiters();
     }
 
