--- a/crates/cherrystream-core/src/workspaces.rs
+++ b/crates/cherrystream-core/src/workspaces.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 /// Characters of a digest that logs show; collisions among a million keys are unlikely.
-const MARK_CHARACTERS: usize = 12;
+const FINGERPRINT_CHARACTERS: usize = 12;
 /// Number of random bytes in a new key.
 pub const NEW_KEY_BYTES: usize = 32;
 /// Thousandths per request.
@@ -32,10 +32,10 @@
 
     /// Returns the beginning of its digest, which distinguishes keys in logs without revealing
     /// them.
-    pub fn mark(&self) -> String {
-        let mut mark = digest(&self.0);
-        mark.truncate(MARK_CHARACTERS);
-        mark
+    pub fn fingerprint(&self) -> String {
+        let mut fingerprint = digest(&self.0);
+        fingerprint.truncate(FINGERPRINT_CHARACTERS);
+        fingerprint
     }
 }
 
--- a/crates/cherrystream-daemon/src/outbound/mod.rs
+++ b/crates/cherrystream-daemon/src/outbound/mod.rs
@@ -150,7 +150,7 @@
         let took = now.since(started);
         let reason = result.as_ref().err().map(|refused| refused.reason);
         if reason == Some(Reason::UnknownKey) {
-            summary.key = key.map(|key| key.mark());
+            summary.key = key.map(|key| key.fingerprint());
         }
         self.request_log.finish(now, &summary, reason, took, held.revision);
         self.metrics.call_seconds.observe(took.as_secs_f64());
