--- a/crates/cherrystream-core/src/routes.rs
+++ b/crates/cherrystream-core/src/routes.rs
@@ -198,7 +198,7 @@
 
     /// Returns whether it was made of the table with a number and of such a configuration.
     pub fn is_of(&self, number: u64, config: &Config) -> bool {
-        self.number == number && self.workspaces.is_of(config)
+        self.number == number && self.workspaces.is_built_from(config)
     }
 
     /// Returns the number of the table; 0 for none.
--- a/crates/cherrystream-core/src/workspaces.rs
+++ b/crates/cherrystream-core/src/workspaces.rs
@@ -119,7 +119,7 @@
     }
 
     /// Returns whether a configuration has the same workspaces as the one the index was built from.
-    pub fn is_of(&self, config: &Config) -> bool {
+    pub fn is_built_from(&self, config: &Config) -> bool {
         self.config_source.0 == config.needs_key && self.config_source.1 == config.workspaces
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// Returns the workspace that a key belongs to.
-    pub fn holder(&self, key: &ApiKey) -> Option<&Arc<NamedWorkspace>> {
+    pub fn workspace_for_key(&self, key: &ApiKey) -> Option<&Arc<NamedWorkspace>> {
         self.by_digest.get(&digest(&key.0))
     }
 }
--- a/crates/cherrystream-core/tests/workspaces.rs
+++ b/crates/cherrystream-core/tests/workspaces.rs
@@ -43,7 +43,7 @@
 }
 
 fn holder(index: &WorkspaceIndex, key: &str) -> Option<String> {
-    index.holder(&ApiKey::new(key)).map(|workspace| workspace.name.to_string())
+    index.workspace_for_key(&ApiKey::new(key)).map(|workspace| workspace.name.to_string())
 }
 
 #[test]
@@ -54,7 +54,7 @@
     assert_eq!(holder(&index, "k3").as_deref(), Some("b"));
     assert_eq!(holder(&index, "k"), None);
     assert_eq!(holder(&index, ""), None);
-    let quota = index.holder(&ApiKey::new("k1")).unwrap().quota.unwrap();
+    let quota = index.workspace_for_key(&ApiKey::new("k1")).unwrap().quota.unwrap();
     assert_eq!((quota.per_second, quota.burst), (2.5, 5.0));
 }
 
@@ -188,22 +188,22 @@
     });
 }
 
-/// Guards against an outdated index: a daemon rebuilds it only if `is_of` returns false.
+/// Guards against an outdated index: a daemon rebuilds it only if `is_built_from` returns false.
 #[test]
 fn an_index_detects_changes_of_the_configuration() {
     let mut config = Config::default();
     let empty = WorkspaceIndex::new(None, &config);
     config.hosts_out.push("host-a".into());
-    assert!(empty.is_of(&config));
+    assert!(empty.is_built_from(&config));
     config.workspaces.insert("a".into(), workspace(&["k1"]));
-    assert!(!empty.is_of(&config));
+    assert!(!empty.is_built_from(&config));
     let held = WorkspaceIndex::new(None, &config);
-    assert!(held.is_of(&config));
+    assert!(held.is_built_from(&config));
     config.workspaces.get_mut("a").unwrap().key_digests.clear();
-    assert!(!held.is_of(&config));
+    assert!(!held.is_built_from(&config));
     let without = WorkspaceIndex::new(None, &config);
     config.needs_key = true;
-    assert!(!without.is_of(&config));
+    assert!(!without.is_built_from(&config));
 }
 
 /// Guards against look-ups that search all workspaces. Uses the shortest of several rounds, which
@@ -212,7 +212,8 @@
 fn look_up_time_does_not_grow_with_the_number_of_workspaces() {
     let round = |index: &WorkspaceIndex, keys: &[ApiKey]| {
         let started = Instant::now();
-        let found = keys.iter().cycle().take(10_000).filter(|key| index.holder(key).is_some());
+        let found =
+            keys.iter().cycle().take(10_000).filter(|key| index.workspace_for_key(key).is_some());
         assert_eq!(found.count(), 10_000);
         started.elapsed()
     };
--- a/crates/cherrystream-daemon/src/outbound/aim.rs
+++ b/crates/cherrystream-daemon/src/outbound/aim.rs
@@ -126,7 +126,7 @@
 /// Returns the workspace that holds a key.
 fn find_member(routes: &Arc<RouteIndex>, key: Option<&ApiKey>, needed: bool) -> Option<Member> {
     let key = key?;
-    let workspace = routes.workspaces().holder(key)?.clone();
+    let workspace = routes.workspaces().workspace_for_key(key)?.clone();
     Some(Member { workspace, key: key.clone(), needed, checked: routes.clone() })
 }
 
--- a/crates/cherrystream-daemon/src/outbound/request.rs
+++ b/crates/cherrystream-daemon/src/outbound/request.rs
@@ -165,7 +165,7 @@
         if Arc::ptr_eq(&member.checked, routes) {
             return Ok(());
         }
-        match routes.workspaces().holder(&member.key) {
+        match routes.workspaces().workspace_for_key(&member.key) {
             Some(holder) => {
                 member.workspace = holder.clone();
                 member.checked = routes.clone();
