--- a/crates/cherrystream-core/src/workspace_plan.rs
+++ b/crates/cherrystream-core/src/workspace_plan.rs
@@ -127,8 +127,8 @@
         Intent::PutWorkspace { workspace, priority, rate_milli_per_s, burst_milli } => {
             let exists = shared.config.workspaces.contains_key(workspace);
             let verb = if exists { "change" } else { "create" };
-            let terms = workspaces::terms(*priority, *rate_milli_per_s, *burst_milli);
-            format!("{verb} workspace '{workspace}': {terms}")
+            let limits = workspaces::describe_limits(*priority, *rate_milli_per_s, *burst_milli);
+            format!("{verb} workspace '{workspace}': {limits}")
         }
         Intent::AddKey { workspace, key_digest } => {
             format!(
@@ -188,7 +188,8 @@
     };
     let (old_limit, new_limit) = (limit(old), limit(new));
     (new_limit.0 < old_limit.0 || new_limit.1 < old_limit.1).then(|| {
-        let terms = workspaces::terms(old.priority, old.rate_milli_per_s, old.burst_milli);
-        format!("lowers the quota of workspace '{name}'; it was: {terms}")
+        let limits =
+            workspaces::describe_limits(old.priority, old.rate_milli_per_s, old.burst_milli);
+        format!("lowers the quota of workspace '{name}'; it was: {limits}")
     })
 }
--- a/crates/cherrystream-core/src/workspaces.rs
+++ b/crates/cherrystream-core/src/workspaces.rs
@@ -140,7 +140,7 @@
 }
 
 /// Describes the priority and the quota of a workspace to operators.
-pub fn terms(priority: Option<u32>, rate_milli_per_s: u64, burst_milli: u64) -> String {
+pub fn describe_limits(priority: Option<u32>, rate_milli_per_s: u64, burst_milli: u64) -> String {
     let priority = match priority {
         Some(priority) => format!("priority {priority}"),
         None => "the priority of its requests' routes".into(),
--- a/crates/cherrystream/src/print.rs
+++ b/crates/cherrystream/src/print.rs
@@ -102,8 +102,8 @@
 pub fn workspaces(reply: &ConfigReply) -> String {
     let mut text = String::new();
     for (name, w) in &reply.config.workspaces {
-        let terms = workspaces::terms(w.priority, w.rate_milli_per_s, w.burst_milli);
-        let _ = writeln!(text, "workspace {name}: {terms}");
+        let limits = workspaces::describe_limits(w.priority, w.rate_milli_per_s, w.burst_milli);
+        let _ = writeln!(text, "workspace {name}: {limits}");
         for digest in &w.key_digests {
             let _ = writeln!(text, "  key of digest {digest}");
         }
