--- a/crates/cherrystream-control/src/operators.rs
+++ b/crates/cherrystream-control/src/operators.rs
@@ -163,7 +163,9 @@
         let known = call.request_key.as_deref().and_then(|k| state.plan_of(&call.operator, k));
         let outline = match known {
             Some(_) => plan::Outline::default(),
-            None => plan::outline(state.shared(), &plan::as_of(&intent, clock::unix_ms()))?,
+            None => {
+                plan::outline(state.shared(), &plan::with_start_time(&intent, clock::unix_ms()))?
+            }
         };
         Ok(Plan {
             id: uuid::Uuid::new_v4().simple().to_string()[..12].into(),
--- a/crates/cherrystream-core/src/plan.rs
+++ b/crates/cherrystream-core/src/plan.rs
@@ -40,7 +40,7 @@
 }
 
 /// Returns the intent with `at_ms` as its start time; the confirmation may be later than the plan.
-pub fn as_of(intent: &Intent, at_ms: u64) -> Intent {
+pub fn with_start_time(intent: &Intent, at_ms: u64) -> Intent {
     match intent {
         Intent::StartRollout { service, version, within_ms, .. } => Intent::StartRollout {
             service: service.clone(),
--- a/crates/cherrystream-core/src/state/plans.rs
+++ b/crates/cherrystream-core/src/state/plans.rs
@@ -61,7 +61,7 @@
         if plan.base_revision != self.config_revision {
             return Err(Error::Conflict { changes: self.changes_since(plan.base_revision) });
         }
-        let change = Change::Operator { intent: plan::as_of(&plan.intent, at_ms) };
+        let change = Change::Operator { intent: plan::with_start_time(&plan.intent, at_ms) };
         self.share(&change, at);
         self.config_revision = at;
         if let Some(plan) = self.plans.get_mut(id) {
--- a/crates/cherrystream-core/tests/rollouts/orders.rs
+++ b/crates/cherrystream-core/tests/rollouts/orders.rs
@@ -163,8 +163,11 @@
     log.step(RolloutStage::RolledBack, 0);
     // As the command line states it: the time is control's.
     let stated = start("v2", 0);
-    assert!(plan::outline(log.state.shared(), &plan::as_of(&stated, 5_000)).is_err(), "too soon");
-    assert!(plan::outline(log.state.shared(), &plan::as_of(&stated, 60_000)).is_ok());
+    assert!(
+        plan::outline(log.state.shared(), &plan::with_start_time(&stated, 5_000)).is_err(),
+        "too soon"
+    );
+    assert!(plan::outline(log.state.shared(), &plan::with_start_time(&stated, 60_000)).is_ok());
     let planned = Plan {
         id: "p".into(),
         operator: "anna".into(),
