--- a/crates/cherrystream-control/src/tables.rs
+++ b/crates/cherrystream-control/src/tables.rs
@@ -87,8 +87,8 @@
     /// Fails on a replica that does not lead, or when the outcome is not known.
     pub async fn order_routes_here(&self, order: Command) -> Result<RouteOrderReply, NoResult> {
         match self.handle.propose(order).await? {
-            Applied::RoutesHeld(number) => Ok(RouteOrderReply { number, taken: true }),
-            Applied::RoutesMoved(number) => Ok(RouteOrderReply { number, taken: false }),
+            Applied::CurrentRoutes(number) => Ok(RouteOrderReply { number, taken: true }),
+            Applied::RouteConflict(number) => Ok(RouteOrderReply { number, taken: false }),
             _ => Err(NoResult::Unknown),
         }
     }
--- a/crates/cherrystream-core/src/state/mod.rs
+++ b/crates/cherrystream-core/src/state/mod.rs
@@ -28,10 +28,10 @@
     /// The reply to a claim.
     Claimed(ClaimReply),
     /// The number of the current route table.
-    RoutesHeld(u64),
+    CurrentRoutes(u64),
     /// The patch was discarded: it is based on another route table than the current one, which has
     /// this number.
-    RoutesMoved(u64),
+    RouteConflict(u64),
 }
 
 /// Unpacked payload of a command.
@@ -140,7 +140,7 @@
                     Unpacked::Order(order) => self.replace_routes(&order, at),
                     _ => self.route_number(),
                 };
-                return Applied::RoutesHeld(number);
+                return Applied::CurrentRoutes(number);
             }
             Command::PatchRoutes { base, number, .. } => {
                 return self.patch_routes(*base, *number, unpacked, at);
@@ -155,7 +155,7 @@
     pub fn pass_over(&mut self, number: u64) -> Applied {
         // A table that is not newer than the current one has no effect anyway.
         self.skipped_routes |= number > self.route_number();
-        Applied::RoutesHeld(number.max(self.route_number()))
+        Applied::CurrentRoutes(number.max(self.route_number()))
     }
 
     /// Returns whether a route table was skipped and its replacement is not applied yet.
@@ -190,21 +190,21 @@
     ) -> Applied {
         let current = self.route_number();
         if number <= current {
-            return Applied::RoutesHeld(current);
+            return Applied::CurrentRoutes(current);
         }
         if base != current {
-            return Applied::RoutesMoved(current);
+            return Applied::RouteConflict(current);
         }
         let Unpacked::Patch(patch) = unpacked else {
-            return Applied::RoutesMoved(current);
+            return Applied::RouteConflict(current);
         };
         let old = self.route_source.as_deref().unwrap_or_default();
         let Some(source) = text_patch::apply(old, &patch.source) else {
-            return Applied::RoutesMoved(current);
+            return Applied::RouteConflict(current);
         };
         self.share(&patch.change, at);
         self.route_source = Some(source);
-        Applied::RoutesHeld(number)
+        Applied::CurrentRoutes(number)
     }
 
     /// Returns the number of the current route table; 0 if there is none.
--- a/crates/cherrystream-core/tests/route_patches.rs
+++ b/crates/cherrystream-core/tests/route_patches.rs
@@ -90,7 +90,7 @@
                 }
             }
             let next = order(number, &paths);
-            assert_eq!(log.apply(patch(&held, &next)), Applied::RoutesHeld(number));
+            assert_eq!(log.apply(patch(&held, &next)), Applied::CurrentRoutes(number));
             assert!(log.holds(&next));
             held = next;
         }
@@ -102,15 +102,19 @@
 fn a_patch_of_another_table_changes_nothing_and_says_which_one_holds() {
     let mut log = Log::default();
     let (first, second, third) = (order(1, &[1]), order(2, &[1, 2]), order(3, &[1, 2, 3]));
-    assert_eq!(log.apply(patch(&first, &second)), Applied::RoutesMoved(0), "there is no table yet");
+    assert_eq!(
+        log.apply(patch(&first, &second)),
+        Applied::RouteConflict(0),
+        "there is no table yet"
+    );
     log.apply(whole(&second));
-    assert_eq!(log.apply(patch(&first, &third)), Applied::RoutesMoved(2));
+    assert_eq!(log.apply(patch(&first, &third)), Applied::RouteConflict(2));
     assert!(log.holds(&second));
-    assert_eq!(log.apply(patch(&second, &third)), Applied::RoutesHeld(3));
-    assert_eq!(log.apply(patch(&second, &third)), Applied::RoutesHeld(3), "sent once more");
+    assert_eq!(log.apply(patch(&second, &third)), Applied::CurrentRoutes(3));
+    assert_eq!(log.apply(patch(&second, &third)), Applied::CurrentRoutes(3), "sent once more");
     assert!(log.holds(&third));
     let torn = Command::PatchRoutes { base: 3, number: 4, packed: "torn".into() };
-    assert_eq!(log.apply(torn), Applied::RoutesMoved(3));
+    assert_eq!(log.apply(torn), Applied::RouteConflict(3));
     assert!(log.holds(&third));
 }
 
--- a/crates/cherrystream-core/tests/routes.rs
+++ b/crates/cherrystream-core/tests/routes.rs
@@ -149,10 +149,10 @@
         let applied = state.apply(&Entry { term: 1, index, command });
         (applied, state.route_source().map(str::to_string))
     };
-    assert_eq!(put(7, "seven"), (Applied::RoutesHeld(7), Some("seven".into())));
-    assert_eq!(put(5, "five"), (Applied::RoutesHeld(7), Some("seven".into())));
-    assert_eq!(put(7, "another seven"), (Applied::RoutesHeld(7), Some("seven".into())));
-    assert_eq!(put(9, "nine"), (Applied::RoutesHeld(9), Some("nine".into())));
+    assert_eq!(put(7, "seven"), (Applied::CurrentRoutes(7), Some("seven".into())));
+    assert_eq!(put(5, "five"), (Applied::CurrentRoutes(7), Some("seven".into())));
+    assert_eq!(put(7, "another seven"), (Applied::CurrentRoutes(7), Some("seven".into())));
+    assert_eq!(put(9, "nine"), (Applied::CurrentRoutes(9), Some("nine".into())));
 }
 
 #[test]
