--- a/crates/cherrystream-control/src/backlog.rs
+++ b/crates/cherrystream-control/src/backlog.rs
@@ -104,7 +104,7 @@
         while let Some(waiting) = self.entries.pop_front() {
             let position = Position { term: waiting.entry.term, index: waiting.entry.index };
             self.untold.push((position, waiting.apply(state)));
-            if !state.lags() {
+            if !state.has_skipped_routes() {
                 self.untold.drain(..).for_each(|(position, applied)| on_applied(position, applied));
             }
             if !self.entries.front().is_some_and(&mut goes_on) {
@@ -118,7 +118,7 @@
     fn apply(self, state: &mut ControlState) -> Applied {
         let Waiting { entry, passed_over, unpacked } = self;
         match table_number(&entry).filter(|_| passed_over) {
-            Some(number) => state.pass_over(number),
+            Some(number) => state.skip_routes(number),
             None => {
                 let unpacked = unpacked.unwrap_or_else(|| Unpacked::of(&entry.command));
                 state.apply_unpacked(&entry, unpacked)
--- a/crates/cherrystream-core/src/state/mod.rs
+++ b/crates/cherrystream-core/src/state/mod.rs
@@ -152,14 +152,14 @@
     /// Skips a route table that a later entry with a higher number replaces. The retained changes
     /// lack it, so they no longer lead from every daemon's revision to the newest one: once the
     /// later table is applied, daemons get the whole state.
-    pub fn pass_over(&mut self, number: u64) -> Applied {
+    pub fn skip_routes(&mut self, number: u64) -> Applied {
         // A table that is not newer than the current one has no effect anyway.
         self.skipped_routes |= number > self.route_number();
         Applied::CurrentRoutes(number.max(self.route_number()))
     }
 
     /// Returns whether a route table was skipped and its replacement is not applied yet.
-    pub fn lags(&self) -> bool {
+    pub fn has_skipped_routes(&self) -> bool {
         self.skipped_routes
     }
 
--- a/crates/cherrystream-core/tests/distribution.rs
+++ b/crates/cherrystream-core/tests/distribution.rs
@@ -175,7 +175,7 @@
 #[test]
 fn a_replica_that_passed_over_tables_offers_nothing_until_the_last_one_is_applied() {
     let mut state = state(3);
-    state.pass_over(7);
+    state.skip_routes(7);
     let command = Command::Share { change: host(4) };
     state.apply(&Entry { term: 1, index: 5, command });
     assert_eq!(state.step_since(Revision::default()), Step::Nothing);
