--- a/crates/cherrystream-bench/src/transfers.rs
+++ b/crates/cherrystream-bench/src/transfers.rs
@@ -7,7 +7,7 @@
 use crate::stats;
 use crate::tables::{self, History};
 use cherrystream_core::distribution::{Encoded, LIGHT};
-use cherrystream_core::state::Step;
+use cherrystream_core::state::UpdateKind;
 use cherrystream_net::chunks;
 use cherrystream_schema::messages::{ChunkReply, Offer, Revision, Update};
 use serde::Serialize;
@@ -62,7 +62,7 @@
     let write = median_ms(|| to_text(&plain));
     let read = median_ms(|| serde_json::from_slice::<Update>(&text));
     let update = history.state.update_since(held);
-    if is_short(history.state.step_since(held)) {
+    if is_short(history.state.update_kind_since(held)) {
         let sent = to_text(&update)?.len();
         println!(
             "{what:>14} {size:>8} {:>12} {:>12} {sent:>12} {write:>11.2} {read:>11.2} {:>11} {:>11}",
@@ -85,8 +85,8 @@
     Ok(())
 }
 
-fn is_short(step: Step) -> bool {
-    matches!(step, Step::Changes { weight } if weight <= LIGHT)
+fn is_short(step: UpdateKind) -> bool {
+    matches!(step, UpdateKind::Changes { weight } if weight <= LIGHT)
 }
 
 /// Returns the bytes of the offer and of all chunks from control, Base64 and JSON included.
--- a/crates/cherrystream-control/src/distribution.rs
+++ b/crates/cherrystream-control/src/distribution.rs
@@ -2,7 +2,7 @@
 
 use crate::reach::Reach;
 use cherrystream_core::distribution::{Asker, Crossing, Encoded, LIGHT, Library, Way};
-use cherrystream_core::state::{ControlState, Step};
+use cherrystream_core::state::{ControlState, UpdateKind};
 use cherrystream_core::units::{Dotted, Revision, Timestamp};
 use cherrystream_net::chunks;
 use cherrystream_schema::messages::{
@@ -54,17 +54,17 @@
         reach: &Reach,
     ) -> Lacking {
         let asker = self.asker(&req.record.host, &req.record.failure_domain);
-        let step = state.read().step_since(req.held);
+        let step = state.read().update_kind_since(req.held);
         match step {
-            Step::Nothing => {
+            UpdateKind::Nothing => {
                 self.crossing.lock().on_done(asker);
                 return Lacking::Nothing;
             }
-            Step::Changes { weight } if weight <= LIGHT => {
+            UpdateKind::Changes { weight } if weight <= LIGHT => {
                 self.crossing.lock().on_done(asker);
                 return Lacking::Short(Box::new(state.read().update_since(req.held)));
             }
-            Step::Changes { .. } | Step::Whole { .. } => {}
+            UpdateKind::Changes { .. } | UpdateKind::Whole { .. } => {}
         }
         if req.looks_in && !asker.near {
             return Lacking::Nothing;
@@ -97,7 +97,7 @@
     /// Returns whether a daemon need not be told of anything newer than what it is fetching. The state is not locked
     /// while the library is asked for: encoding takes the two the other way round.
     fn goes_on(&self, state: &RwLock<ControlState>, fetching: &Fetching) -> bool {
-        self.has(fetching) && is_light(state.read().step_since(fetching.id.to))
+        self.has(fetching) && is_light(state.read().update_kind_since(fetching.id.to))
     }
 
     /// Returns whether what a daemon is fetching can still be had: here, or from the peer that offered it.
@@ -106,15 +106,15 @@
     }
 
     /// Returns the encoded update for a daemon. It is encoded once: the library is locked meanwhile.
-    fn encoded(&self, state: &RwLock<ControlState>, held: Revision, step: Step) -> Encoded {
+    fn encoded(&self, state: &RwLock<ControlState>, held: Revision, step: UpdateKind) -> Encoded {
         let mut library = self.library.lock();
         let from = match step {
-            Step::Whole { .. } => Revision::default(),
-            Step::Nothing | Step::Changes { .. } => held,
+            UpdateKind::Whole { .. } => Revision::default(),
+            UpdateKind::Nothing | UpdateKind::Changes { .. } => held,
         };
         // One that leads nearly as far will do: what came since follows as a few changes.
         let known = library.furthest(from).filter(|known| {
-            known.id().to > held && is_light(state.read().step_since(known.id().to))
+            known.id().to > held && is_light(state.read().update_kind_since(known.id().to))
         });
         if let Some(known) = known {
             return known.clone();
@@ -145,11 +145,11 @@
     }
 }
 
-fn is_light(step: Step) -> bool {
+fn is_light(step: UpdateKind) -> bool {
     match step {
-        Step::Nothing => true,
-        Step::Changes { weight } => weight <= LIGHT,
-        Step::Whole { .. } => false,
+        UpdateKind::Nothing => true,
+        UpdateKind::Changes { weight } => weight <= LIGHT,
+        UpdateKind::Whole { .. } => false,
     }
 }
 
--- a/crates/cherrystream-core/src/state/changes.rs
+++ b/crates/cherrystream-core/src/state/changes.rs
@@ -14,7 +14,7 @@
 
 /// Kind of update that brings a daemon from its revision to the newest one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum UpdateKind {
     /// No update.
     Nothing,
     /// The changes since that revision.
@@ -80,21 +80,21 @@
     }
 
     /// Returns which update a daemon at revision `held` needs.
-    pub fn step_since(&self, held: Revision) -> Step {
+    pub fn update_kind_since(&self, held: Revision) -> UpdateKind {
         // A lagging replica may be behind the daemon. A replica that skipped route tables and has
         // not applied the last one yet has a revision ahead of its state.
         if held >= self.revision || self.skipped_routes {
-            return Step::Nothing;
+            return UpdateKind::Nothing;
         }
-        let whole = Step::Whole { weight: distribution::of_state(&self.shared) };
+        let whole = UpdateKind::Whole { weight: distribution::of_state(&self.shared) };
         if held < self.changes_after {
             return whole;
         }
         let newer = self.newer_than(held).map(|numbered| &numbered.change);
         let weight = distribution::of_changes(newer);
         match whole {
-            Step::Whole { weight: w } if weight > distribution::LIGHT && w <= weight => whole,
-            _ => Step::Changes { weight },
+            UpdateKind::Whole { weight: w } if weight > distribution::LIGHT && w <= weight => whole,
+            _ => UpdateKind::Changes { weight },
         }
     }
 
@@ -102,12 +102,12 @@
     /// that is smaller or the changes are no longer retained.
     pub fn update_since(&self, held: Revision) -> Update {
         let revision = self.revision;
-        match self.step_since(held) {
-            Step::Nothing => Update { revision, changes: vec![], full: None },
-            Step::Whole { .. } => {
+        match self.update_kind_since(held) {
+            UpdateKind::Nothing => Update { revision, changes: vec![], full: None },
+            UpdateKind::Whole { .. } => {
                 Update { revision, changes: vec![], full: Some(self.shared.clone()) }
             }
-            Step::Changes { .. } => {
+            UpdateKind::Changes { .. } => {
                 let changes = self.newer_than(held).cloned().collect();
                 Update { revision, changes, full: None }
             }
--- a/crates/cherrystream-core/src/state/mod.rs
+++ b/crates/cherrystream-core/src/state/mod.rs
@@ -3,7 +3,7 @@
 mod changes;
 mod plans;
 
-pub use changes::Step;
+pub use changes::UpdateKind;
 
 use crate::errors::Result;
 use crate::ledger::Ledger;
--- a/crates/cherrystream-core/tests/distribution.rs
+++ b/crates/cherrystream-core/tests/distribution.rs
@@ -5,7 +5,7 @@
     Asker, BYTES_AT_MOST, ChunkFault, Crossing, Download, Encoded, Gather, Library, Taken, Way,
 };
 use cherrystream_core::shared;
-use cherrystream_core::state::{ControlState, Step};
+use cherrystream_core::state::{ControlState, UpdateKind};
 use cherrystream_core::units::{Revision, Timestamp};
 use cherrystream_schema::messages::{Change, Command, Entry, HostRecord, StateId, Update};
 use std::time::Duration;
@@ -133,10 +133,10 @@
         let command = Command::Share { change: host(index % 30 + 1) };
         state.apply(&Entry { term: 1, index, command });
     }
-    assert_eq!(state.step_since(Revision::default()), Step::Whole { weight: 30 });
-    assert_eq!(state.step_since(revision(390)), Step::Changes { weight: 10 });
-    assert_eq!(state.step_since(revision(400)), Step::Nothing);
-    assert_eq!(state.step_since(revision(500)), Step::Nothing, "this replica lags");
+    assert_eq!(state.update_kind_since(Revision::default()), UpdateKind::Whole { weight: 30 });
+    assert_eq!(state.update_kind_since(revision(390)), UpdateKind::Changes { weight: 10 });
+    assert_eq!(state.update_kind_since(revision(400)), UpdateKind::Nothing);
+    assert_eq!(state.update_kind_since(revision(500)), UpdateKind::Nothing, "this replica lags");
     for held in [0, 10, 100, 350, 390] {
         let update = state.update_since(Revision { term: u64::from(held > 0), index: held });
         assert_eq!(apply(held, &state, update), *state.shared(), "from {held}");
@@ -178,8 +178,8 @@
     state.skip_routes(7);
     let command = Command::Share { change: host(4) };
     state.apply(&Entry { term: 1, index: 5, command });
-    assert_eq!(state.step_since(Revision::default()), Step::Nothing);
-    assert_eq!(state.step_since(revision(2)), Step::Nothing);
+    assert_eq!(state.update_kind_since(Revision::default()), UpdateKind::Nothing);
+    assert_eq!(state.update_kind_since(revision(2)), UpdateKind::Nothing);
 }
 
 #[test]
@@ -191,8 +191,8 @@
     }
     let text = serde_json::to_string(&state).unwrap();
     assert!(text.len() < 400_000, "{} bytes", text.len());
-    assert!(matches!(state.step_since(revision(3_000)), Step::Whole { .. }));
-    assert_eq!(state.step_since(revision(4_990)), Step::Changes { weight: 10 });
+    assert!(matches!(state.update_kind_since(revision(3_000)), UpdateKind::Whole { .. }));
+    assert_eq!(state.update_kind_since(revision(4_990)), UpdateKind::Changes { weight: 10 });
 }
 
 fn asker<'a>(host: &'a str, failure_domain: &'a str) -> Asker<'a> {
