--- a/crates/cherrystream-control/src/backlog.rs
+++ b/crates/cherrystream-control/src/backlog.rs
@@ -6,7 +6,7 @@
 //! a table ends such a row, for whether it counts hangs on the table that holds when its turn comes.
 
 use cherrystream_core::raft::Position;
-use cherrystream_core::state::{Applied, ControlState, Unpacked};
+use cherrystream_core::state::{Applied, ControlState, Payload};
 use cherrystream_schema::messages::{Command, Entry};
 use std::collections::VecDeque;
 
@@ -18,7 +18,7 @@
 struct Waiting {
     entry: Entry,
     passed_over: bool,
-    unpacked: Option<Unpacked>,
+    unpacked: Option<Payload>,
 }
 
 /// The entries, in the order of the log.
@@ -68,7 +68,7 @@
     /// locked meanwhile.
     pub fn unpack_first(&mut self) {
         if let Some(first) = self.entries.front_mut().filter(|first| !first.passed_over) {
-            first.unpacked = Some(Unpacked::of(&first.entry.command));
+            first.unpacked = Some(Payload::unpack(&first.entry.command));
         }
     }
 
@@ -120,7 +120,7 @@
         match table_number(&entry).filter(|_| passed_over) {
             Some(number) => state.skip_routes(number),
             None => {
-                let unpacked = unpacked.unwrap_or_else(|| Unpacked::of(&entry.command));
+                let unpacked = unpacked.unwrap_or_else(|| Payload::unpack(&entry.command));
                 state.apply_unpacked(&entry, unpacked)
             }
         }
@@ -128,7 +128,7 @@
 
     /// Returns whether the entry brings a route table that is not unpacked yet.
     fn is_packed(&self) -> bool {
-        let brings_table = Unpacked::is_needed(&self.entry.command);
+        let brings_table = Payload::is_packed(&self.entry.command);
         brings_table && !self.passed_over && self.unpacked.is_none()
     }
 }
--- a/crates/cherrystream-core/src/state/mod.rs
+++ b/crates/cherrystream-core/src/state/mod.rs
@@ -34,34 +34,34 @@
     RouteConflict(u64),
 }
 
-/// Unpacked payload of a command.
+/// Payload payload of a command.
 #[derive(Clone, Debug)]
-pub enum Unpacked {
+pub enum Payload {
     /// No payload, or a malformed one.
     Nothing,
     /// A whole route table.
-    Order(Box<RouteOrder>),
+    Table(Box<RouteOrder>),
     /// A patch to the previous route table.
     Patch(Box<RoutePatch>),
 }
 
-impl Unpacked {
+impl Payload {
     /// Unpacks the payload of a command.
-    pub fn of(command: &Command) -> Unpacked {
+    pub fn unpack(command: &Command) -> Payload {
         let unpacked = match command {
             Command::ReplaceRoutes { packed, .. } => {
-                routes::unpack(packed).map(|order| Unpacked::Order(Box::new(order)))
+                routes::unpack(packed).map(|order| Payload::Table(Box::new(order)))
             }
             Command::PatchRoutes { packed, .. } => {
-                routes::unpack(packed).map(|patch| Unpacked::Patch(Box::new(patch)))
+                routes::unpack(packed).map(|patch| Payload::Patch(Box::new(patch)))
             }
             _ => None,
         };
-        unpacked.unwrap_or(Unpacked::Nothing)
+        unpacked.unwrap_or(Payload::Nothing)
     }
 
     /// Returns whether a command has a packed payload.
-    pub fn is_needed(command: &Command) -> bool {
+    pub fn is_packed(command: &Command) -> bool {
         matches!(command, Command::ReplaceRoutes { .. } | Command::PatchRoutes { .. })
     }
 }
@@ -111,11 +111,11 @@
 impl ControlState {
     /// Applies a committed entry.
     pub fn apply(&mut self, entry: &Entry) -> Applied {
-        self.apply_unpacked(entry, Unpacked::of(&entry.command))
+        self.apply_unpacked(entry, Payload::unpack(&entry.command))
     }
 
     /// Applies a committed entry whose payload is already unpacked.
-    pub fn apply_unpacked(&mut self, entry: &Entry, unpacked: Unpacked) -> Applied {
+    pub fn apply_unpacked(&mut self, entry: &Entry, unpacked: Payload) -> Applied {
         let at = Revision { term: entry.term, index: entry.index };
         match &entry.command {
             Command::Found { .. } | Command::ReplaceDisk { .. } | Command::Noop { .. } => {}
@@ -137,7 +137,7 @@
             Command::ReplaceRoutes { .. } => {
                 // A proposed payload is always well-formed; a malformed one would be ignored.
                 let number = match unpacked {
-                    Unpacked::Order(order) => self.replace_routes(&order, at),
+                    Payload::Table(order) => self.replace_routes(&order, at),
                     _ => self.route_number(),
                 };
                 return Applied::CurrentRoutes(number);
@@ -181,13 +181,7 @@
 
     /// Applies a patch if it is based on the current route table. The outcome is the same on every
     /// replica, because the current table at a log entry is.
-    fn patch_routes(
-        &mut self,
-        base: u64,
-        number: u64,
-        unpacked: Unpacked,
-        at: Revision,
-    ) -> Applied {
+    fn patch_routes(&mut self, base: u64, number: u64, unpacked: Payload, at: Revision) -> Applied {
         let current = self.route_number();
         if number <= current {
             return Applied::CurrentRoutes(current);
@@ -195,7 +189,7 @@
         if base != current {
             return Applied::RouteConflict(current);
         }
-        let Unpacked::Patch(patch) = unpacked else {
+        let Payload::Patch(patch) = unpacked else {
             return Applied::RouteConflict(current);
         };
         let old = self.route_source.as_deref().unwrap_or_default();
