--- a/crates/cherrystream-bench/src/quotas/mod.rs
+++ b/crates/cherrystream-bench/src/quotas/mod.rs
@@ -4,7 +4,7 @@
 
 use argh::FromArgs;
 use cherrystream_core::quota::{
-    LeaseBatch, LeaseRequest, Leases, Member, Members, Policy, Reply, Tolerance, Try, Verdict,
+    Decision, LeaseBatch, LeaseReply, LeaseRequest, Leases, Member, Members, Policy, Tolerance, Try,
 };
 use cherrystream_core::units::Timestamp;
 use cherrystream_core::workspaces::Quota;
@@ -127,7 +127,7 @@
         sent: u64,
         number: u64,
         batch: LeaseBatch,
-        reply: Option<Reply>,
+        reply: Option<LeaseReply>,
     },
 }
 
@@ -268,11 +268,11 @@
         let daemon = &mut self.daemons[n];
         let now = Timestamp(self.now - daemon.began);
         match daemon.policy.admit(now, &load.name, load.quota, turn) {
-            Verdict::Run(_) => {
+            Decision::Run(_) => {
                 load.ran.push(self.now);
             }
-            Verdict::Wait => daemon.waiting.push(workspace),
-            Verdict::Over(_) => self.refused += 1,
+            Decision::Wait => daemon.waiting.push(workspace),
+            Decision::Refuse(_) => self.refused += 1,
         }
     }
 
@@ -347,7 +347,7 @@
                 }
                 let sent = Timestamp(sent.saturating_sub(began));
                 let policy = &mut self.daemons[to].policy;
-                policy.replied(now, sent, &member(home).host, &batch, reply.as_ref());
+                policy.on_reply(now, sent, &member(home).host, &batch, reply.as_ref());
                 for workspace in std::mem::take(&mut self.daemons[to].waiting) {
                     self.decide(to, workspace, Try::Again);
                 }
@@ -381,7 +381,7 @@
         |n: usize| load.ran.partition_point(|at| *at < load.ran[n] + window.as_micros() as u64);
     let most = (0..load.ran.len()).map(|n| ends(n) - n).max().unwrap_or(0) as f64;
     let quota = load.quota.per_second * window.as_secs_f64() + load.quota.burst;
-    (most - quota) / tolerance().room(load.quota)
+    (most - quota) / tolerance().max_excess(load.quota)
 }
 
 fn member(n: usize) -> Member {
--- a/crates/cherrystream-bench/src/quotas/tally.rs
+++ b/crates/cherrystream-bench/src/quotas/tally.rs
@@ -1,8 +1,8 @@
 //! Tally, the policy that was weighed and not taken: each daemon runs requests at once and tells their count to one home, which says when the sum is too high.
 
 use cherrystream_core::quota::{
-    Charge, LeaseAnswer, LeaseBatch, LeaseRequest, Members, Over, Policy, Reply, Tolerance, Try,
-    Verdict,
+    Charge, Decision, LeaseAnswer, LeaseBatch, LeaseReply, LeaseRequest, Members, OverQuota,
+    Policy, Tolerance, Try,
 };
 use cherrystream_core::units::Timestamp;
 use cherrystream_core::workspaces::Quota;
@@ -55,19 +55,19 @@
     fn count(&mut self, now: Timestamp, line: &LeaseRequest) -> LeaseAnswer {
         let held = self.quotas.get(&line.workspace).copied();
         let quota = held.unwrap_or_else(|| line.quota.into());
-        let depth = quota.burst + EXTRA_DEPTH_SHARE * self.tolerance.room(quota);
+        let depth = quota.burst + EXTRA_DEPTH_SHARE * self.tolerance.max_excess(quota);
         let fresh = || Bucket { level: quota.burst, at: now };
         let bucket = self.buckets.entry(line.workspace.clone()).or_insert_with(fresh);
         let added = quota.per_second * now.since(bucket.at).as_secs_f64();
-        bucket.level = (bucket.level + added + f64::from(line.back)).min(depth);
+        bucket.level = (bucket.level + added + f64::from(line.unused)).min(depth);
         bucket.level -= f64::from(line.requests);
         bucket.at = now;
         if bucket.level > 0.0 {
-            return LeaseAnswer::Granted { credits: line.requests, lacking: 0 };
+            return LeaseAnswer::Granted { credits: line.requests, deficit: 0 };
         }
         let lacking = (1.0 - bucket.level) / quota.per_second;
         let away = Duration::from_secs_f64(lacking).max(AWAY_AT_LEAST);
-        LeaseAnswer::OverForMs(u32::try_from(away.as_millis()).unwrap_or(u32::MAX))
+        LeaseAnswer::RetryAfterMs(u32::try_from(away.as_millis()).unwrap_or(u32::MAX))
     }
 }
 
@@ -80,11 +80,17 @@
         self.quotas = quotas;
     }
 
-    fn admit(&mut self, now: Timestamp, workspace: &Arc<str>, quota: Quota, _turn: Try) -> Verdict {
+    fn admit(
+        &mut self,
+        now: Timestamp,
+        workspace: &Arc<str>,
+        quota: Quota,
+        _turn: Try,
+    ) -> Decision {
         let told = self.told.entry(workspace.clone()).or_default();
         told.quota = Some(quota);
         let over = |retry_after, answer_age, out_of_reach| {
-            Verdict::Over(Over { retry_after, answer_age, out_of_reach })
+            Decision::Refuse(OverQuota { retry_after, answer_age, out_of_reach })
         };
         if let Some((until, at)) = told.over.filter(|(until, _)| *until > now) {
             return over(until.since(now), now.since(at), false);
@@ -95,7 +101,7 @@
             return over(TELL_EVERY, Duration::ZERO, true);
         }
         told.untold += 1;
-        Verdict::Run(Charge { workspace: workspace.clone(), home: None })
+        Decision::Run(Charge { workspace: workspace.clone(), allocator: None })
     }
 
     fn give_back(&mut self, _now: Timestamp, charge: &Charge) {
@@ -116,45 +122,52 @@
             if nothing || told.on_the_way > 0 {
                 continue;
             }
-            let Some(home) = self.members.only_home(workspace) else { continue };
+            let Some(home) = self.members.sole_allocator(workspace) else { continue };
             let Some(quota) = told.quota else { continue };
             let (workspace, quota) = (workspace.clone(), quota.into());
-            let (requests, back) =
+            let (requests, unused) =
                 (std::mem::take(&mut told.untold), std::mem::take(&mut told.back));
             told.on_the_way = requests;
-            let line = LeaseRequest { workspace, quota, requests, ahead: 0, knows: true, back };
+            let line = LeaseRequest {
+                workspace,
+                quota,
+                requests,
+                prefetch: 0,
+                deficit_considered: true,
+                unused,
+            };
             let is_own = home == self.members.own.host;
             let batch = if is_own { &mut at_home } else { batches.entry(home).or_default() };
             batch.lines.push(line);
         }
         let reply = self.answer(now, &at_home);
         let own = self.members.own.host.clone();
-        self.replied(now, now, &own, &at_home, Some(&reply));
+        self.on_reply(now, now, &own, &at_home, Some(&reply));
         batches.into_iter().collect()
     }
 
-    fn answer(&mut self, now: Timestamp, batch: &LeaseBatch) -> Reply {
-        Reply { words: batch.lines.iter().map(|line| self.count(now, line)).collect() }
+    fn answer(&mut self, now: Timestamp, batch: &LeaseBatch) -> LeaseReply {
+        LeaseReply { answers: batch.lines.iter().map(|line| self.count(now, line)).collect() }
     }
 
-    fn replied(
+    fn on_reply(
         &mut self,
         now: Timestamp,
         _sent: Timestamp,
         _home: &Arc<str>,
         batch: &LeaseBatch,
-        reply: Option<&Reply>,
+        reply: Option<&LeaseReply>,
     ) {
         for (n, line) in batch.lines.iter().enumerate() {
             let Some(told) = self.told.get_mut(&line.workspace) else { continue };
             told.on_the_way = 0;
-            match reply.and_then(|reply| reply.words.get(n)) {
-                Some(LeaseAnswer::OverForMs(ms)) => {
+            match reply.and_then(|reply| reply.answers.get(n)) {
+                Some(LeaseAnswer::RetryAfterMs(ms)) => {
                     told.over = Some((now + Duration::from_millis((*ms).into()), now));
                 }
                 Some(LeaseAnswer::Granted { .. }) => told.over = None,
                 // Counted once too often rather than never.
-                Some(LeaseAnswer::NotHome) | None => told.untold += line.requests,
+                Some(LeaseAnswer::NotAllocator) | None => told.untold += line.requests,
             }
         }
     }
--- a/crates/cherrystream-core/src/quota/leases.rs
+++ b/crates/cherrystream-core/src/quota/leases.rs
@@ -8,7 +8,8 @@
 use super::allocators::{self, Allocators};
 use super::workspace_leases::{Backoff, Deficit, WorkspaceLeases};
 use super::{
-    Charge, LeaseAnswer, LeaseBatch, LeaseRequest, Members, Policy, Reply, Tolerance, Try, Verdict,
+    Charge, Decision, LeaseAnswer, LeaseBatch, LeaseReply, LeaseRequest, Members, Policy,
+    Tolerance, Try,
 };
 use crate::units::Timestamp;
 use crate::workspaces::Quota;
@@ -76,7 +77,7 @@
             let size = allocators::size(&self.members, &self.tolerance, quota);
             leases.allocator_per_second = size.per_second;
             leases.max_deficit = allocators::max_deficit(&self.members, &self.tolerance, quota);
-            let max_rank = (ISOLATED_SHARE * self.tolerance.room(quota)) as usize;
+            let max_rank = (ISOLATED_SHARE * self.tolerance.max_excess(quota)) as usize;
             leases.may_run_isolated = self.members.is_ranked_within(workspace, max_rank);
         }
         for allocator in &leases.allocators {
@@ -98,16 +99,19 @@
     fn ask_local(&mut self, now: Timestamp, workspace: &Arc<str>, requests: u32) {
         let local = self.members.own.host.clone();
         let Some(leases) = self.workspaces.get_mut(workspace) else { return };
-        let ahead = leases.demand.within_lease(now);
+        let prefetch = leases.demand.within_lease(now);
         let Some(line) = leases.line(now, workspace, &local) else { return };
-        let answer =
-            self.allocators.answer(now, &self.members, &LeaseRequest { requests, ahead, ..line });
+        let answer = self.allocators.answer(
+            now,
+            &self.members,
+            &LeaseRequest { requests, prefetch, ..line },
+        );
         record_answer(leases, now, now, &local, answer);
     }
 
     /// Admits a request without a lease while an allocator is unavailable: few daemons may, once
     /// per window each.
-    fn run_isolated(&mut self, now: Timestamp, workspace: &Arc<str>) -> Option<Verdict> {
+    fn run_isolated(&mut self, now: Timestamp, workspace: &Arc<str>) -> Option<Decision> {
         let window = self.tolerance.window;
         let leases = self.workspaces.get_mut(workspace)?;
         let ran = leases.ran_isolated_at.is_some_and(|at| now.since(at) <= window);
@@ -115,7 +119,7 @@
             return None;
         }
         leases.ran_isolated_at = Some(now);
-        Some(Verdict::Run(Charge { workspace: workspace.clone(), home: None }))
+        Some(Decision::Run(Charge { workspace: workspace.clone(), allocator: None }))
     }
 
     /// Returns the line that requests credits for a workspace, if one is due.
@@ -130,8 +134,8 @@
         if leases.in_flight {
             return None;
         }
-        let ahead = leases.demand.within_lease(now).saturating_sub(leases.credits());
-        let wants_prefetch = ahead > leases.credits() && leases.prefetch_from <= now;
+        let prefetch = leases.demand.within_lease(now).saturating_sub(leases.credits());
+        let wants_prefetch = prefetch > leases.credits() && leases.prefetch_from <= now;
         let due = leases.waiting > 0 || wants_prefetch;
         let allocator = leases.next_allocator(now).filter(|_| due)?.clone();
         if allocator == local {
@@ -144,7 +148,7 @@
         leases.in_flight = true;
         leases.prefetch_from = now + PREFETCH_INTERVAL;
         let requests = leases.waiting;
-        Some((allocator, LeaseRequest { requests, ahead, ..line }))
+        Some((allocator, LeaseRequest { requests, prefetch, ..line }))
     }
 
     /// Returns the lines that only return unused credits.
@@ -202,7 +206,7 @@
         self.allocators.set_quotas(quotas);
     }
 
-    fn admit(&mut self, now: Timestamp, workspace: &Arc<str>, quota: Quota, turn: Try) -> Verdict {
+    fn admit(&mut self, now: Timestamp, workspace: &Arc<str>, quota: Quota, turn: Try) -> Decision {
         let local = self.members.own.host.clone();
         self.active.insert(workspace.clone());
         let leases = self.prepare(now, workspace, quota);
@@ -216,20 +220,23 @@
                 self.ask_local(now, workspace, 1);
             }
         }
-        let Some(leases) = self.workspaces.get_mut(workspace) else { return Verdict::Wait };
+        let Some(leases) = self.workspaces.get_mut(workspace) else { return Decision::Wait };
         if let Some(allocator) = leases.take(now) {
-            return Verdict::Run(Charge { workspace: workspace.clone(), home: Some(allocator) });
+            return Decision::Run(Charge {
+                workspace: workspace.clone(),
+                allocator: Some(allocator),
+            });
         }
         if leases.in_flight || leases.next_allocator(now).is_some() {
             leases.waiting += 1;
-            return Verdict::Wait;
+            return Decision::Wait;
         }
         let over = leases.over(now);
-        self.run_isolated(now, workspace).unwrap_or(Verdict::Over(over))
+        self.run_isolated(now, workspace).unwrap_or(Decision::Refuse(over))
     }
 
     fn give_back(&mut self, _now: Timestamp, charge: &Charge) {
-        let Some(allocator) = &charge.home else { return };
+        let Some(allocator) = &charge.allocator else { return };
         let Some(leases) = self.workspaces.get_mut(&charge.workspace) else { return };
         *leases.unused.entry(allocator.clone()).or_default() += 1;
         self.active.insert(charge.workspace.clone());
@@ -253,31 +260,32 @@
         batches.into_iter().collect()
     }
 
-    fn answer(&mut self, now: Timestamp, batch: &LeaseBatch) -> Reply {
+    fn answer(&mut self, now: Timestamp, batch: &LeaseBatch) -> LeaseReply {
         let (allocators, members) = (&mut self.allocators, &self.members);
-        let words = batch.lines.iter().map(|line| allocators.answer(now, members, line)).collect();
-        Reply { words }
+        let answers =
+            batch.lines.iter().map(|line| allocators.answer(now, members, line)).collect();
+        LeaseReply { answers }
     }
 
-    fn replied(
+    fn on_reply(
         &mut self,
         now: Timestamp,
         sent: Timestamp,
         allocator: &Arc<str>,
         batch: &LeaseBatch,
-        reply: Option<&Reply>,
+        reply: Option<&LeaseReply>,
     ) {
         if reply.is_none() {
             self.unreachable.insert(allocator.clone(), now + UNREACHABLE_BACKOFF);
         }
         for (n, line) in batch.lines.iter().enumerate() {
-            if line.requests == 0 && line.ahead == 0 {
+            if line.requests == 0 && line.prefetch == 0 {
                 continue;
             }
             let Some(leases) = self.workspaces.get_mut(&line.workspace) else { continue };
             leases.in_flight = false;
             leases.waiting = 0;
-            match reply.and_then(|reply| reply.words.get(n)) {
+            match reply.and_then(|reply| reply.answers.get(n)) {
                 Some(answer) => record_answer(leases, now, sent, allocator, *answer),
                 None => {
                     let backoff = Backoff {
@@ -301,21 +309,21 @@
     answer: LeaseAnswer,
 ) {
     let backoff = match answer {
-        LeaseAnswer::Granted { credits, lacking } => {
+        LeaseAnswer::Granted { credits, deficit } => {
             leases.backoffs.remove(allocator);
             leases
                 .deficits
-                .insert(allocator.clone(), Deficit { credits: lacking, received_at: now });
+                .insert(allocator.clone(), Deficit { credits: deficit, received_at: now });
             if credits > 0 {
                 leases.add(allocator, credits, sent);
             }
             return;
         }
-        LeaseAnswer::OverForMs(ms) => {
+        LeaseAnswer::RetryAfterMs(ms) => {
             let until = now + Duration::from_millis(ms.into());
             Backoff { until, received_at: now, unavailable: false }
         }
-        LeaseAnswer::NotHome => {
+        LeaseAnswer::NotAllocator => {
             Backoff { until: now + NOT_ALLOCATOR_BACKOFF, received_at: now, unavailable: true }
         }
     };
--- a/crates/cherrystream-core/src/quota/mod.rs
+++ b/crates/cherrystream-core/src/quota/mod.rs
@@ -35,7 +35,7 @@
 
 impl Tolerance {
     /// Returns the requests beyond its quota that a workspace may send within a window.
-    pub fn room(&self, quota: Quota) -> f64 {
+    pub fn max_excess(&self, quota: Quota) -> f64 {
         let allowed = quota.per_second * self.window.as_secs_f64() + quota.burst;
         self.over * allowed + self.slack
     }
@@ -56,12 +56,12 @@
     /// Workspace whose quota it counts against.
     pub workspace: Arc<str>,
     /// Host of the allocator that granted it; `None` if the request ran without a lease.
-    pub home: Option<Arc<str>>,
+    pub allocator: Option<Arc<str>>,
 }
 
 /// Why a request is over the quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Over {
+pub struct OverQuota {
     /// Time after which a retry may be admitted.
     pub retry_after: Duration,
     /// Age of the allocator's answer behind the refusal.
@@ -72,11 +72,11 @@
 
 /// Decision on a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// The request may run.
     Run(Charge),
     /// The request is refused.
-    Over(Over),
+    Refuse(OverQuota),
     /// The decision is repeated when an answer arrives.
     Wait,
 }
@@ -114,11 +114,11 @@
     /// Requests that wait for credits, or that ran without them since the last batch.
     pub requests: u32,
     /// Credits wanted for expected requests.
-    pub ahead: u32,
+    pub prefetch: u32,
     /// Whether the daemon took the allocator's recent deficit into account.
-    pub knows: bool,
+    pub deficit_considered: bool,
     /// Unused credits returned to the allocator.
-    pub back: u32,
+    pub unused: u32,
 }
 
 /// A batch of requests from one daemon to another.
@@ -136,19 +136,19 @@
         /// Number of credits; may be 0.
         credits: u32,
         /// Credits missing from the allocator's full bucket.
-        lacking: u32,
+        deficit: u32,
     },
     /// The quota is used up; a retry may succeed after this time in milliseconds.
-    OverForMs(u32),
+    RetryAfterMs(u32),
     /// The answering daemon is not an allocator of this workspace.
-    NotHome,
+    NotAllocator,
 }
 
 /// Answers to the lines of a batch, in their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reply {
+pub struct LeaseReply {
     /// One answer per line.
-    pub words: Vec<LeaseAnswer>,
+    pub answers: Vec<LeaseAnswer>,
 }
 
 /// Enforces quotas at one daemon.
@@ -158,20 +158,20 @@
     /// Sets the quotas in force, by workspace.
     fn set_quotas(&mut self, quotas: HashMap<Arc<str>, Quota>);
     /// Decides on a request.
-    fn admit(&mut self, now: Timestamp, workspace: &Arc<str>, quota: Quota, turn: Try) -> Verdict;
+    fn admit(&mut self, now: Timestamp, workspace: &Arc<str>, quota: Quota, turn: Try) -> Decision;
     /// Returns the credit of a request that did not run and never will.
     fn give_back(&mut self, now: Timestamp, charge: &Charge);
     /// Returns the batches that are due, each with the host to send it to.
     fn outgoing(&mut self, now: Timestamp) -> Vec<(Arc<str>, LeaseBatch)>;
     /// Answers a batch of another daemon.
-    fn answer(&mut self, now: Timestamp, batch: &LeaseBatch) -> Reply;
+    fn answer(&mut self, now: Timestamp, batch: &LeaseBatch) -> LeaseReply;
     /// Handles the reply to a batch that was sent at `sent`; `None` if no reply arrived.
-    fn replied(
+    fn on_reply(
         &mut self,
         now: Timestamp,
         sent: Timestamp,
         allocator: &Arc<str>,
         batch: &LeaseBatch,
-        reply: Option<&Reply>,
+        reply: Option<&LeaseReply>,
     );
 }
--- a/crates/cherrystream-core/tests/rollouts/state.rs
+++ b/crates/cherrystream-core/tests/rollouts/state.rs
@@ -163,8 +163,11 @@
     log.step(RolloutStage::RolledBack, 0);
     // The command line sends no time; control sets it.
     let stated = start("v2", 0);
-    assert!(plan::outline(log.state.shared(), &plan::as_of(&stated, 5_000)).is_err(), "too soon");
-    assert!(plan::outline(log.state.shared(), &plan::as_of(&stated, 60_000)).is_ok());
+    assert!(
+        plan::outline(log.state.shared(), &plan::with_start_time(&stated, 5_000)).is_err(),
+        "too soon"
+    );
+    assert!(plan::outline(log.state.shared(), &plan::with_start_time(&stated, 60_000)).is_ok());
     let planned = Plan {
         id: "p".into(),
         operator: "anna".into(),
