--- a/crates/cherrystream-core/src/admission/request.rs
+++ b/crates/cherrystream-core/src/admission/request.rs
@@ -1,6 +1,6 @@
 //! Requests, settings and decisions of admission control.
 
-use crate::cold_pace::ColdLimits;
+use crate::cold_rate_limit::ColdLimits;
 use crate::reasons::Reason;
 use crate::units::Timestamp;
 use std::time::Duration;
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
     /// Whether it is a nested call, whose parent is wasted without it.
-    pub called: bool,
+    pub nested: bool,
     /// Whether its answer can still be in time.
     pub in_time: bool,
     /// Weight in load shedding; the lowest is shed first.
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
     /// Whether it is a nested call.
-    pub called: bool,
+    pub nested: bool,
     /// Weight in load shedding; the lowest is shed first.
     pub weight: u32,
     /// Time until which the request may wait.
@@ -56,22 +56,22 @@
     /// Time until which an answer is useful, if it has a limit.
     pub good_until: Option<Timestamp>,
     /// Typical service time of such a request, if there are enough samples.
-    pub usual: Option<Duration>,
+    pub typical_time: Option<Duration>,
 }
 
 impl Arrival {
     /// Returns the rank at time `now`. A request without `good_until` is treated as one that can be
     /// in time.
     pub fn rank(&self, now: Timestamp) -> Rank {
-        let usual = self.usual.unwrap_or_default();
-        let in_time = self.good_until.is_none_or(|until| now + usual < until);
-        Rank { called: self.called, in_time, weight: self.weight }
+        let typical_time = self.typical_time.unwrap_or_default();
+        let in_time = self.good_until.is_none_or(|until| now + typical_time < until);
+        Rank { nested: self.nested, in_time, weight: self.weight }
     }
 }
 
 /// Decision on a new request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
+pub enum Decision {
     /// The request is sent to the backend server now.
     Run(Ticket),
     /// The request is queued; an [`Action`] follows.
@@ -92,13 +92,13 @@
 impl Refusal {
     /// Returns the refusal of a request that leaves the last slot to other workspaces. Its retry
     /// delay is zero: other requests of the kind may be admitted at once.
-    pub fn making_way() -> Refusal {
+    pub fn yielded_slot() -> Refusal {
         Refusal { reason: Reason::BusyNow, retry_after: Duration::ZERO }
     }
 
     /// Returns whether a free slot was left to other workspaces.
-    pub fn makes_way(&self) -> bool {
-        *self == Refusal::making_way()
+    pub fn yields_slot(&self) -> bool {
+        *self == Refusal::yielded_slot()
     }
 }
 
--- a/crates/cherrystream-core/src/measuring.rs
+++ b/crates/cherrystream-core/src/health.rs
@@ -12,15 +12,15 @@
 
 /// Allows at most a fixed number of probes in any second.
 #[derive(Debug)]
-pub struct MeasuringBudget {
+pub struct ProbeBudget {
     per_second: u32,
     sent: VecDeque<Timestamp>,
 }
 
-impl MeasuringBudget {
+impl ProbeBudget {
     /// Creates a budget of `per_second` probes.
-    pub fn new(per_second: u32) -> MeasuringBudget {
-        MeasuringBudget { per_second, sent: VecDeque::new() }
+    pub fn new(per_second: u32) -> ProbeBudget {
+        ProbeBudget { per_second, sent: VecDeque::new() }
     }
 
     /// Replaces the number of probes per second.
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Check {
     /// The backend server reported its state.
-    Said(ServerState),
+    Reported(ServerState),
     /// The check timed out, or its response was invalid.
     Failed,
 }
@@ -72,7 +72,7 @@
     /// Records the result of a check and returns the state.
     pub fn on_check(&mut self, check: Check) -> ServerState {
         match check {
-            Check::Said(state) => {
+            Check::Reported(state) => {
                 self.failures = 0;
                 self.state = state;
             }
--- a/crates/cherrystream-core/src/rollout/conductor.rs
+++ b/crates/cherrystream-core/src/rollout/controller.rs
@@ -5,9 +5,9 @@
 //! progress; only the steps of the leader are committed. A new leader receives all counts within
 //! one heartbeat interval.
 
+use super::counts::CountsDelta;
 use super::evaluation::Evaluator;
-use super::tally::CountsDelta;
-use super::{is_under_way, live};
+use super::{is_in_progress, live_instances};
 use crate::units::Timestamp;
 use cherrystream_schema::messages::{
     Change, HostTally, KindTally, Rollout, RolloutStage, Shared, VersionTally,
@@ -63,7 +63,7 @@
 
 /// Controls the roll-outs in progress.
 #[derive(Debug, Default)]
-pub struct Conductor {
+pub struct Controller {
     limits: Limits,
     active: BTreeMap<String, ActiveRollout>,
 }
@@ -95,10 +95,10 @@
     kinds: BTreeMap<String, KindTally>,
 }
 
-impl Conductor {
+impl Controller {
     /// Creates a controller without roll-outs.
-    pub fn new(limits: Limits) -> Conductor {
-        Conductor { limits, active: BTreeMap::new() }
+    pub fn new(limits: Limits) -> Controller {
+        Controller { limits, active: BTreeMap::new() }
     }
 
     /// Handles the counts of a daemon. They are cumulative, so repeated reports count once.
@@ -114,7 +114,7 @@
     pub fn decide(&mut self, at: Moment, shared: &Shared) -> Vec<Change> {
         let known = &shared.config.rollouts;
         let is_current = |service: &String, active: &mut ActiveRollout| {
-            known.get(service).is_some_and(|r| is_under_way(r) && active.is_of(r))
+            known.get(service).is_some_and(|r| is_in_progress(r) && active.is_of(r))
         };
         self.active.retain(is_current);
         let due = |(service, rollout): (&String, &Rollout)| {
@@ -124,7 +124,7 @@
             let step = active.decide(at.now, rollout, slots, self.limits)?;
             Some(step.change(service, rollout))
         };
-        known.iter().filter(|(_, rollout)| is_under_way(rollout)).filter_map(due).collect()
+        known.iter().filter(|(_, rollout)| is_in_progress(rollout)).filter_map(due).collect()
     }
 }
 
@@ -161,7 +161,7 @@
 impl Slots {
     fn of(shared: &Shared, service: &str, rollout: &Rollout) -> Slots {
         let mut slots = Slots::default();
-        for instance in live(shared, service) {
+        for instance in live_instances(shared, service) {
             match instance.version == rollout.version {
                 true => slots.canary += instance.slots,
                 false => slots.old += instance.slots,
--- a/crates/cherrystream-core/tests/quotas/world.rs
+++ b/crates/cherrystream-core/tests/quotas/world.rs
@@ -1,7 +1,7 @@
 //! Simulation of daemons that share quotas, on a network with delays, losses and partitions.
 
 use cherrystream_core::quota::{
-    LeaseBatch, Member, Members, Policy, Reply, Tolerance, Try, Verdict,
+    Decision, LeaseBatch, LeaseReply, Member, Members, Policy, Tolerance, Try,
 };
 use cherrystream_core::units::Timestamp;
 use cherrystream_core::workspaces::Quota;
@@ -40,9 +40,28 @@
 }
 
 enum Message {
-    Request { from: usize, to: usize, sent: Timestamp, number: u64, batch: LeaseBatch },
-    Reply { from: usize, to: usize, sent: Timestamp, number: u64, batch: LeaseBatch, reply: Reply },
-    TimedOut { to: usize, allocator: usize, sent: Timestamp, number: u64, batch: LeaseBatch },
+    Request {
+        from: usize,
+        to: usize,
+        sent: Timestamp,
+        number: u64,
+        batch: LeaseBatch,
+    },
+    Reply {
+        from: usize,
+        to: usize,
+        sent: Timestamp,
+        number: u64,
+        batch: LeaseBatch,
+        reply: LeaseReply,
+    },
+    TimedOut {
+        to: usize,
+        allocator: usize,
+        sent: Timestamp,
+        number: u64,
+        batch: LeaseBatch,
+    },
 }
 
 pub struct World {
@@ -201,14 +220,14 @@
             Message::Reply { from, to, sent, number, batch, reply } => {
                 if self.complete(number) {
                     let policy = &mut self.daemons[to].policy;
-                    policy.replied(now, sent, &name(from), &batch, Some(&reply));
+                    policy.on_reply(now, sent, &name(from), &batch, Some(&reply));
                     self.retry_waiting(to);
                 }
             }
             Message::TimedOut { to, allocator, sent, number, batch } => {
                 if self.complete(number) {
                     let policy = &mut self.daemons[to].policy;
-                    policy.replied(now, sent, &name(allocator), &batch, None);
+                    policy.on_reply(now, sent, &name(allocator), &batch, None);
                     self.retry_waiting(to);
                 }
             }
@@ -237,9 +256,9 @@
         let daemon = &mut self.daemons[n];
         while let Some(turn) = daemon.undecided.pop_front() {
             match daemon.policy.admit(now, &workspace(), self.quota, turn) {
-                Verdict::Run(_) => self.ran.push(self.now),
-                Verdict::Wait => daemon.waiting += 1,
-                Verdict::Over(over) => self.refused.push(Refusal {
+                Decision::Run(_) => self.ran.push(self.now),
+                Decision::Wait => daemon.waiting += 1,
+                Decision::Refuse(over) => self.refused.push(Refusal {
                     at: self.now,
                     retry_at: self.now + over.retry_after.as_micros() as u64,
                     out_of_reach: over.out_of_reach,
@@ -276,6 +295,6 @@
     /// Returns the number of requests allowed within a window.
     pub fn allowed(&self) -> f64 {
         let window = self.tolerance.window.as_secs_f64();
-        self.quota.per_second * window + self.quota.burst + self.tolerance.room(self.quota)
+        self.quota.per_second * window + self.quota.burst + self.tolerance.max_excess(self.quota)
     }
 }
--- a/crates/cherrystream-core/tests/rollouts/world.rs
+++ b/crates/cherrystream-core/tests/rollouts/world.rs
@@ -1,10 +1,10 @@
 //! Simulation of a roll-out without a network: a service with two versions, its daemons, and a
 //! leader of control. Counts and steps are delayed, and leaders change.
 
-use cherrystream_core::rollout::conductor::{Conductor, Limits, Moment};
-use cherrystream_core::rollout::guard::{Guard, Word};
-use cherrystream_core::rollout::tally::{Answer, Counts};
-use cherrystream_core::rollout::{self, Part};
+use cherrystream_core::rollout::controller::{Controller, Limits, Moment};
+use cherrystream_core::rollout::counts::{Answer, Counts};
+use cherrystream_core::rollout::guard::{CanaryLease, CircuitBreaker};
+use cherrystream_core::rollout::{self, Exposure};
 use cherrystream_core::shared;
 use cherrystream_core::units::Timestamp;
 use cherrystream_schema::messages::{
@@ -77,7 +77,7 @@
 struct Server {
     host: String,
     is_canary: bool,
-    guard: Guard,
+    breaker: CircuitBreaker,
     counts: Counts,
     at_work: Vec<(Timestamp, Timestamp, bool)>,
 }
@@ -91,8 +91,8 @@
     /// States in transit to the daemons.
     in_transit: VecDeque<(Timestamp, Shared)>,
     held: Shared,
-    lease: Word,
-    conductor: Conductor,
+    lease: CanaryLease,
+    controller: Controller,
     was_leading: bool,
     pending: Vec<(Timestamp, Change)>,
     exposed: u64,
@@ -140,8 +140,8 @@
                 version: version.into(),
             };
             shared::apply(&mut committed, &Change::PutInstance { host: host.clone(), instance });
-            let (guard, counts) = (Guard::default(), Counts::default());
-            servers.push(Server { host, is_canary, guard, counts, at_work: Vec::new() });
+            let (breaker, counts) = (CircuitBreaker::default(), Counts::default());
+            servers.push(Server { host, is_canary, breaker, counts, at_work: Vec::new() });
         }
         let intent = Intent::StartRollout {
             service: "s".into(),
@@ -158,8 +158,8 @@
             held: committed.clone(),
             committed,
             in_transit: VecDeque::new(),
-            lease: Word::default(),
-            conductor: Conductor::new(Limits::default()),
+            lease: CanaryLease::default(),
+            controller: Controller::new(Limits::default()),
             was_leading: true,
             pending: Vec::new(),
             exposed: 0,
@@ -215,7 +215,7 @@
             }
         }
         if self.has_leader() {
-            self.lease.hear(now + LEASE_TIME);
+            self.lease.extend(now + LEASE_TIME);
         }
     }
 
@@ -229,7 +229,7 @@
             for (began, ends, failed) in done {
                 let took = ends.since(began);
                 server.counts.on_answer(&kind, Answer { failed, took: Some(took) });
-                server.guard.on_answer(now, failed);
+                server.breaker.on_answer(now, failed);
                 if server.is_canary && (failed || took.as_secs_f64() > 2.0 * SERVICE_TIME_S) {
                     self.bad += 1;
                     if self.bad == 50 {
@@ -244,12 +244,12 @@
     fn request(&mut self) {
         self.all += 1;
         let rollout = self.held.config.rollouts["s"].clone();
-        let to_canary = match rollout::part(Some(&rollout), "v2") {
-            Part::Trial { exposure_milli } => {
+        let to_canary = match rollout::exposure(Some(&rollout), "v2") {
+            Exposure::Canary { exposure_milli } => {
                 self.rng.random::<f64>() < f64::from(exposure_milli) / 1_000.0
             }
-            Part::Any => true,
-            Part::Closed => false,
+            Exposure::Unrestricted => true,
+            Exposure::Closed => false,
         };
         let servers = self.simulation.servers;
         if to_canary {
@@ -274,8 +274,8 @@
 
     fn admits(&self, server: usize, rollout: &cherrystream_schema::messages::Rollout) -> bool {
         let trying = rollout.stage == RolloutStage::Trying;
-        let is_leased = !trying || self.lease.holds(self.now);
-        is_leased && !self.servers[server].guard.is_stopped(self.now)
+        let is_leased = !trying || self.lease.is_valid(self.now);
+        is_leased && !self.servers[server].breaker.is_open(self.now)
     }
 
     fn run(&mut self, server: usize) {
@@ -303,11 +303,11 @@
         }
         if !std::mem::replace(&mut self.was_leading, true) {
             // The new leader follows the log and receives all counts again.
-            self.conductor = Conductor::new(Limits::default());
+            self.controller = Controller::new(Limits::default());
         }
         if self.is_every(CONTROL_INTERVAL) {
             let unix_ms = self.now.since(Timestamp::default()).as_millis() as u64;
-            let due = self.conductor.decide(Moment { now: self.now, unix_ms }, &self.committed);
+            let due = self.controller.decide(Moment { now: self.now, unix_ms }, &self.committed);
             let at = self.now + STEP_DELAY / 2;
             self.pending.extend(due.into_iter().map(|change| (at, change)));
         }
@@ -331,9 +331,9 @@
                 kinds: server.counts.by_kind(),
             };
             let report = HostTally { host: server.host.clone(), incarnation: 1, tally };
-            self.conductor.on_tally(self.now, &report);
+            self.controller.on_tally(self.now, &report);
             // A repeated report counts once.
-            self.conductor.on_tally(self.now, &report);
+            self.controller.on_tally(self.now, &report);
         }
     }
 }
--- a/crates/cherrystream-daemon/src/door.rs
+++ b/crates/cherrystream-daemon/src/door.rs
@@ -6,17 +6,17 @@
 pub use permit::Permit;
 
 use cherrystream_core::admission::{
-    self, Action, Admission, Arrival, Refusal, Sharer, Ticket, Verdict,
+    self, Action, Admission, Arrival, Decision, Flow, Refusal, Ticket,
 };
-use cherrystream_core::callers::Callers;
-use cherrystream_core::cold_pace::ColdLimits;
-use cherrystream_core::measuring::{Check, Health, MeasuringBudget};
-use cherrystream_core::pace;
+use cherrystream_core::cold_rate_limit::ColdLimits;
+use cherrystream_core::concurrency_limit::{self, ConcurrencyLimit};
+use cherrystream_core::health::{Check, Health, ProbeBudget};
+use cherrystream_core::nested_calls::NestedCallDetector;
 use cherrystream_core::reasons::Reason;
-use cherrystream_core::room::{self, Room};
-use cherrystream_core::suspects::Ends;
+use cherrystream_core::service_times::ServiceTimes;
+use cherrystream_core::slowness;
+use cherrystream_core::suspects::CrashDetector;
 use cherrystream_core::units::Timestamp;
-use cherrystream_core::usual_times::UsualTimes;
 use cherrystream_net::clock::Clock;
 use cherrystream_net::interface::{HealthWord, ServerLoad};
 use cherrystream_net::pool::Pool;
@@ -56,10 +56,10 @@
     /// Connections to the backend server.
     pub backend: Pool,
     /// Budget for measuring it.
-    pub budget: Mutex<MeasuringBudget>,
+    pub budget: Mutex<ProbeBudget>,
     clock: Clock,
     /// Whether its backend server has ended, and under which requests. Taken with no other lock.
-    ends: Mutex<Ends>,
+    ends: Mutex<CrashDetector>,
     inner: Mutex<Inner>,
 }
 
@@ -67,10 +67,10 @@
     admission: Admission,
     waiters: HashMap<Ticket, Waiter>,
     health: Health,
-    callers: Callers,
-    usual_times: UsualTimes,
-    /// As `usual_times`, while the backend server is cold: work takes about twice as long then.
-    cold_times: UsualTimes,
+    callers: NestedCallDetector,
+    service_times: ServiceTimes,
+    /// As `service_times`, while the backend server is cold: work takes about twice as long then.
+    cold_times: ServiceTimes,
     /// The roll-out of its service that is under way.
     trial: TrialRecord,
 }
@@ -88,12 +88,12 @@
             admission: Admission::new(opts),
             waiters: HashMap::new(),
             health: Health::default(),
-            callers: Callers::default(),
-            usual_times: UsualTimes::default(),
-            cold_times: UsualTimes::default(),
+            callers: NestedCallDetector::default(),
+            service_times: ServiceTimes::default(),
+            cold_times: ServiceTimes::default(),
             trial: TrialRecord::default(),
         };
-        let budget = Mutex::new(MeasuringBudget::new(measuring_per_second));
+        let budget = Mutex::new(ProbeBudget::new(measuring_per_second));
         let (ends, inner) = (Mutex::default(), Mutex::new(inner));
         Door { id, version: "".into(), backend, budget, clock, ends, inner }
     }
@@ -122,7 +122,7 @@
             version: self.version.to_string(),
             run: self.id.name.to_string(),
             started_at_ms,
-            at_work: inner.admission.at_work(),
+            at_work: inner.admission.in_flight_count(),
             kinds,
         })
     }
@@ -134,7 +134,7 @@
     }
 
     /// Returns what is known of ends of the backend server. It is held for one step at a time.
-    pub fn ends(&self) -> MutexGuard<'_, Ends> {
+    pub fn ends(&self) -> MutexGuard<'_, CrashDetector> {
         self.ends.lock()
     }
 
@@ -144,19 +144,19 @@
     }
 
     /// Learns how much the backend server can take, from what is known of it or of its predecessor.
-    pub fn learn_room(&self, room: Room) {
-        self.inner.lock().admission.learn_room(room);
+    pub fn learn_room(&self, room: ConcurrencyLimit) {
+        self.inner.lock().admission.set_concurrency_limit(room);
     }
 
     /// Returns what is learned of how much the backend server can take.
-    pub fn room(&self) -> Option<Room> {
-        self.inner.lock().admission.room().cloned()
+    pub fn room(&self) -> Option<ConcurrencyLimit> {
+        self.inner.lock().admission.concurrency_limit().cloned()
     }
 
     /// Returns the changes of how much the backend server can take since it was last asked.
-    pub fn take_room_changes(&self) -> Vec<room::Change> {
+    pub fn take_room_changes(&self) -> Vec<concurrency_limit::Change> {
         let mut inner = self.inner.lock();
-        inner.admission.room().map(Room::take_changes).unwrap_or_default()
+        inner.admission.concurrency_limit().map(ConcurrencyLimit::take_changes).unwrap_or_default()
     }
 
     /// Changes what the backend server takes while it is cold.
@@ -164,7 +164,7 @@
         self.inner.lock().admission.set_cold(cold);
     }
 
-    /// Waits until a request of a kind is let in; `sharer` is its workspace, where there are workspaces.
+    /// Waits until a request of a kind is let in; `flow` is its workspace, where there are workspaces.
     ///
     /// # Errors
     ///
@@ -173,9 +173,9 @@
         self: &Arc<Self>,
         arrival: Arrival,
         kind: &Arc<str>,
-        sharer: Option<&Sharer>,
+        flow: Option<&Flow>,
     ) -> Result<Permit, Refusal> {
-        let permit = self.wait_for_permit(arrival, kind, sharer).await?;
+        let permit = self.wait_for_permit(arrival, kind, flow).await?;
         Ok(permit.begin(kind.clone()))
     }
 
@@ -183,9 +183,9 @@
         self: &Arc<Self>,
         arrival: Arrival,
         kind: &Arc<str>,
-        sharer: Option<&Sharer>,
+        flow: Option<&Flow>,
     ) -> Result<Permit, Refusal> {
-        let (ticket, rx) = match self.arrive(arrival, kind, sharer)? {
+        let (ticket, rx) = match self.arrive(arrival, kind, flow)? {
             Entered::Now(permit) => return Ok(permit),
             Entered::Waits(ticket, rx) => (ticket, rx),
         };
@@ -201,21 +201,21 @@
         self: &Arc<Self>,
         arrival: Arrival,
         kind: &str,
-        sharer: Option<&Sharer>,
+        flow: Option<&Flow>,
     ) -> Result<Entered, Refusal> {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         let is_cold = inner.admission.is_cold(now);
-        let arrival = Arrival { usual: inner.times(is_cold).usual(kind), ..arrival };
-        let (verdict, actions) = inner.admission.arrive_for(now, arrival, sharer);
-        let entered = match verdict {
-            Verdict::Run(ticket) => Ok(Entered::Now(self.permit(ticket))),
-            Verdict::Wait(ticket) => {
+        let arrival = Arrival { typical_time: inner.times(is_cold).typical(kind), ..arrival };
+        let (decision, actions) = inner.admission.arrive_for(now, arrival, flow);
+        let entered = match decision {
+            Decision::Run(ticket) => Ok(Entered::Now(self.permit(ticket))),
+            Decision::Wait(ticket) => {
                 let (tx, rx) = oneshot::channel();
                 inner.waiters.insert(ticket, tx);
                 Ok(Entered::Waits(ticket, rx))
             }
-            Verdict::Refuse(refusal) => Err(refusal),
+            Decision::Refuse(refusal) => Err(refusal),
         };
         let told = self.prepare(&mut inner, actions);
         drop(inner);
@@ -276,7 +276,7 @@
 
     /// Takes the backend server's word on its load.
     pub fn on_load(&self, load: &ServerLoad) {
-        self.inner.lock().admission.on_pace(self.clock.now(), load.slowness);
+        self.inner.lock().admission.on_slowness(self.clock.now(), load.slowness);
     }
 
     /// Takes the word of a report on the warmth of the backend server.
@@ -289,23 +289,23 @@
     pub fn on_health(&self, word: &HealthWord) {
         let is_other = word.instance.as_ref().is_some_and(|name| **name != *self.id.name);
         if let Some(cold_for) = word.cold_for.filter(|_| !is_other) {
-            self.inner.lock().admission.warmth().on_answer(self.clock.now(), cold_for);
+            self.inner.lock().admission.warmth().on_health_response(self.clock.now(), cold_for);
         }
     }
 
     /// Notes that the backend server got nothing before this process knew it.
     pub fn on_new(&self) {
-        self.inner.lock().admission.on_new();
+        self.inner.lock().admission.on_new_instance();
     }
 
     /// Notes that the health endpoint is asked.
     pub fn on_asked(&self) {
-        self.inner.lock().admission.on_asked(self.clock.now());
+        self.inner.lock().admission.on_probe_sent(self.clock.now());
     }
 
     /// Forgets what was heard of the warmth of the backend server.
     pub fn doubt_warmth(&self) {
-        self.inner.lock().admission.warmth().doubt();
+        self.inner.lock().admission.warmth().invalidate();
     }
 
     /// Returns whether the backend server is given no more than a cold one takes.
@@ -315,7 +315,7 @@
 
     /// Returns whether the backend server should be asked how warm it is.
     pub fn wants_warmth(&self) -> bool {
-        self.inner.lock().admission.wants_warmth(self.clock.now())
+        self.inner.lock().admission.start_warmth_probe(self.clock.now())
     }
 
     fn on_sent(&self, ticket: Ticket) {
@@ -327,18 +327,18 @@
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         let is_cold = inner.admission.is_cold(now);
-        let arrival = Arrival { usual: inner.times(is_cold).usual(kind), ..*arrival };
-        !is_cold && inner.admission.wants_pace_first(now, &arrival)
+        let arrival = Arrival { typical_time: inner.times(is_cold).typical(kind), ..*arrival };
+        !is_cold && inner.admission.needs_slowness_first(now, &arrival)
     }
 
     /// Notes that the backend server gave no word on its pace while a request waited for it.
     pub fn on_no_pace(&self) {
-        self.inner.lock().admission.on_no_pace(self.clock.now());
+        self.inner.lock().admission.on_slowness_timeout(self.clock.now());
     }
 
     /// Returns whether the backend server should be asked for its load.
     pub fn wants_load(&self) -> bool {
-        self.inner.lock().admission.wants_pace(self.clock.now())
+        self.inner.lock().admission.needs_slowness_probe(self.clock.now())
     }
 
     /// Lets time pass.
@@ -356,28 +356,28 @@
     /// Counts work that has ended for the roll-out that is under way.
     fn count(&mut self, now: Timestamp, work: &Work, ending: Ending) {
         let slowness = u32::midpoint(work.slowness, self.admission.slowness(now));
-        let took = now.since(work.since) * pace::USUAL / slowness.max(1);
+        let took = now.since(work.since) * slowness::NORMAL / slowness.max(1);
         self.trial.count(now, work, ending, took);
     }
 
     /// Learns from an answer how long such work takes at the usual pace.
     fn learn(&mut self, now: Timestamp, ticket: Ticket, work: &Work) {
-        let done = room::Work {
+        let done = concurrency_limit::Work {
             kind: &work.kind,
             took: now.since(work.since),
             slowness_before: work.slowness,
         };
-        self.admission.on_worked(now, ticket, &done);
+        self.admission.on_service_time(now, ticket, &done);
         // The pace may have changed meanwhile: the mean of both ends stands for all of the time.
         let slowness = u32::midpoint(work.slowness, self.admission.slowness(now));
         let took = now.since(work.since);
         self.times(work.is_cold).on_answer(now, &work.kind, took, slowness);
     }
 
-    fn times(&mut self, is_cold: bool) -> &mut UsualTimes {
+    fn times(&mut self, is_cold: bool) -> &mut ServiceTimes {
         match is_cold {
             true => &mut self.cold_times,
-            false => &mut self.usual_times,
+            false => &mut self.service_times,
         }
     }
 }
--- a/crates/cherrystream-daemon/src/suspects/telling.rs
+++ b/crates/cherrystream-daemon/src/suspects/telling.rs
@@ -2,7 +2,7 @@
 
 use super::SuspectWatch;
 use crate::headers::{self, Op};
-use cherrystream_core::suspects::{Message, Reach, Record, ring};
+use cherrystream_core::suspects::{Audience, Message, Record, ring};
 use cherrystream_net::body::{self, Body, Start};
 use cherrystream_schema::messages::Shared;
 use http::Request;
@@ -27,8 +27,8 @@
         for round in 0.. {
             tokio::time::sleep(DIGEST_EVERY).await;
             let mut table = self.table.lock();
-            table.tick(self.tools.clock.now());
-            let knows = table.has_wide();
+            table.expire(self.tools.clock.now());
+            let knows = table.has_wide_records();
             drop(table);
             self.show();
             if knows {
@@ -65,7 +65,7 @@
         if told.digest == digest {
             return;
         }
-        let known = self.table.lock().wide(self.tools.clock.now());
+        let known = self.table.lock().wide_records(self.tools.clock.now());
         let lacks = |record: &Record| !told.records.iter().any(|other| says_same(record, other));
         let records: Vec<Record> = known.into_iter().filter(lacks).collect();
         if !records.is_empty() {
@@ -80,7 +80,7 @@
         let table = self.table.lock();
         let digest = table.digest();
         let records = match message.digest {
-            Some(theirs) if theirs != digest => table.wide(self.tools.clock.now()),
+            Some(theirs) if theirs != digest => table.wide_records(self.tools.clock.now()),
             _ => Vec::new(),
         };
         drop(table);
@@ -92,7 +92,7 @@
         let now = self.tools.clock.now();
         let mut table = self.table.lock();
         let news: Vec<Record> =
-            records.iter().filter(|record| table.on_word(now, record)).cloned().collect();
+            records.iter().filter(|record| table.on_record(now, record)).cloned().collect();
         drop(table);
         let wide: Vec<Record> = news.into_iter().filter(|record| record.wide).collect();
         if !wide.is_empty() {
@@ -101,9 +101,12 @@
     }
 
     /// Tells others of changes that began here, those beside the backend servers of the service first.
-    pub(super) fn tell(self: Arc<Self>, service: Option<Arc<str>>, news: Vec<(Reach, Record)>) {
-        let wide: Vec<Record> =
-            news.iter().filter(|(reach, _)| *reach == Reach::All).map(|(_, r)| r.clone()).collect();
+    pub(super) fn tell(self: Arc<Self>, service: Option<Arc<str>>, news: Vec<(Audience, Record)>) {
+        let wide: Vec<Record> = news
+            .iter()
+            .filter(|(audience, _)| *audience == Audience::All)
+            .map(|(_, r)| r.clone())
+            .collect();
         let all: Vec<Record> = news.into_iter().map(|(_, record)| record).collect();
         let of_service = service.map(|service| self.hosts_of(&service)).unwrap_or_default();
         if !all.is_empty() {
@@ -151,7 +154,7 @@
     /// Returns the addresses of the daemons that this one tells of what all are to know.
     fn partners(&self) -> Vec<String> {
         let hosts = &self.tools.held.get().shared.hosts;
-        let partners = ring::partners(hosts.keys().map(String::as_str), &self.tools.host);
+        let partners = ring::peers(hosts.keys().map(String::as_str), &self.tools.host);
         let known = partners.into_iter().filter_map(|host| hosts.get(host));
         known.map(|host| host.peer_address.clone()).collect()
     }
