--- a/crates/cherrystream-control/src/handle.rs
+++ b/crates/cherrystream-control/src/handle.rs
@@ -1,8 +1,8 @@
 //! What the other parts of the control role use to speak to the replicated log.
 
 use crate::applier::Outcome;
-use cherrystream_core::raft::asking::{PlaceView, QuorumWord};
-use cherrystream_core::raft::{Admission, ReplicaView};
+use cherrystream_core::raft::rejoin::{PlaceView, QuorumContact};
+use cherrystream_core::raft::{JoinDecision, ReplicaView};
 use cherrystream_core::state::{Applied, ControlState};
 use cherrystream_core::units::Timestamp;
 use cherrystream_schema::messages::{Command, JoinRequest, RaftMessage, ReplicaAddress};
@@ -42,7 +42,7 @@
     /// A question for what the leader knows of the others.
     Views(oneshot::Sender<Vec<ReplicaView>>),
     /// A replica asks for a place in the group; the reply says whether it may have one.
-    Admit(Box<JoinRequest>, oneshot::Sender<Result<Admission, NoResult>>),
+    Admit(Box<JoinRequest>, oneshot::Sender<Result<JoinDecision, NoResult>>),
     /// Committed entries were applied.
     Applied(Vec<Outcome>),
     /// Hand the leadership over, then answer.
@@ -106,7 +106,7 @@
     /// # Errors
     ///
     /// Fails on a replica that does not lead.
-    pub async fn admit(&self, request: JoinRequest) -> Result<Admission, NoResult> {
+    pub async fn admit(&self, request: JoinRequest) -> Result<JoinDecision, NoResult> {
         let (tx, rx) = oneshot::channel();
         self.send(Event::Admit(Box::new(request), tx))?;
         wait(rx).await
@@ -124,20 +124,20 @@
     }
 
     /// Returns how old the word of a leader with a quorum is here.
-    pub fn quorum_word(&self) -> QuorumWord {
+    pub fn quorum_word(&self) -> QuorumContact {
         self.word_at(*self.quorum_word.read())
     }
 
     /// Returns how old the newest word of a leader with a quorum is that is applied here as a whole. A replica that
     /// lags behind the log has an old one, however lately it heard its leader.
-    pub fn state_word(&self) -> QuorumWord {
+    pub fn state_word(&self) -> QuorumContact {
         self.word_at(*self.caught_up.read())
     }
 
-    fn word_at(&self, heard: Option<Timestamp>) -> QuorumWord {
+    fn word_at(&self, heard: Option<Timestamp>) -> QuorumContact {
         match heard {
-            Some(at) => QuorumWord::Heard { age: self.clock.now().since(at) },
-            None => QuorumWord::NotYet,
+            Some(at) => QuorumContact::Heard { age: self.clock.now().since(at) },
+            None => QuorumContact::NotYet,
         }
     }
 
