--- a/crates/cherrystream-core/src/choose/mod.rs
+++ b/crates/cherrystream-core/src/choose/mod.rs
@@ -1,4 +1,4 @@
-//! Choosing a backend server: what an outbound knows of each, and the policies that weigh it.
+//! Choice of a backend server: the state that an outbound keeps for each, and the policies.
 
 mod policies;
 mod refusals;
@@ -13,24 +13,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The backend servers of one service as an outbound knows them.
+/// Backend servers of one service with the state that an outbound keeps for each.
 pub struct Table {
     servers: Vec<Server>,
     choose: Box<dyn Choose + Send>,
 }
 
 impl Table {
-    /// Creates an empty table.
+    /// Creates an empty table with a policy.
     pub fn new(choose: Box<dyn Choose + Send>) -> Table {
         Table { servers: Vec::new(), choose }
     }
 
-    /// Takes the accepted list of backend servers; what is known of those that stay is kept.
+    /// Replaces the list of backend servers. Instances that remain keep their state.
     pub fn set_servers(&mut self, ids: Vec<ServerId>) {
         let mut old = std::mem::take(&mut self.servers);
         for id in ids {
-            let known = old.iter().position(|s| s.id.is_same_run(&id));
-            match known {
+            let position = old.iter().position(|s| s.id.is_same_instance(&id));
+            match position {
                 Some(i) => {
                     let mut server = old.swap_remove(i);
                     server.id = id;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Chooses a backend server that is not among those tried before.
+    /// Chooses a backend server that has not been tried.
     pub fn choose(
         &mut self,
         now: Timestamp,
@@ -50,16 +50,17 @@
     ) -> Option<ServerId> {
         let untried = |s: &&Server| !tried.contains(&s.id.name) && !s.id.out;
         let all: Vec<&Server> = self.servers.iter().filter(untried).collect();
-        let open: Vec<&Server> = all.iter().copied().filter(|s| s.takes_work(now)).collect();
-        // When none seems to take work, the view may be stale: a refused hop costs little.
+        let open: Vec<&Server> = all.iter().copied().filter(|s| s.accepts_work(now)).collect();
+        // If none seems to accept work, the state may be stale. A refused hop costs little.
         let from = if open.is_empty() { all } else { open };
         let chosen = self.choose.choose(now, rng, &from)?;
         from.get(chosen).map(|s| s.id.clone())
     }
 
-    /// Chooses a backend server among those that are not taken for busy: an offer elsewhere would
-    /// cost a hop for nothing. One of the own failure domain comes first if it is sound: its inbound
-    /// turns the request down if it would be served badly there.
+    /// Chooses a backend server that is not considered busy, so that no hop is wasted.
+    ///
+    /// Healthy servers of this failure domain are preferred. Their inbound refuses the request if
+    /// it could not be served in time.
     pub fn choose_free(
         &mut self,
         now: Timestamp,
@@ -67,17 +68,17 @@
         tried: &[Arc<str>],
         kind: &str,
     ) -> Option<ServerId> {
-        let is_free = |s: &Server| !s.is_taken_for_busy(now, kind);
-        let free = takers(&self.servers, now, tried, is_free);
+        let is_free = |s: &Server| !s.is_busy(now, kind);
+        let free = candidates(&self.servers, now, tried, is_free);
         let near: Vec<&Server> =
-            free.iter().copied().filter(|s| s.is_near() && s.is_sound(now)).collect();
+            free.iter().copied().filter(|s| s.is_near() && s.is_healthy(now)).collect();
         let from = if near.is_empty() { free } else { near };
         let chosen = self.choose.choose(now, rng, &from)?;
         from.get(chosen).map(|s| s.id.clone())
     }
 
-    /// Chooses a sound backend server of the own failure domain, or tells how long all of them are taken
-    /// for busy.
+    /// Chooses a healthy backend server of this failure domain, or returns how long all of them
+    /// are considered busy.
     pub fn choose_nearby(
         &mut self,
         now: Timestamp,
@@ -85,19 +86,19 @@
         tried: &[Arc<str>],
         kind: &str,
     ) -> Nearby {
-        let near = takers(&self.servers, now, tried, |s| s.is_near() && s.is_sound(now));
-        let is_free = |s: &&Server| !s.is_taken_for_busy(now, kind);
+        let near = candidates(&self.servers, now, tried, |s| s.is_near() && s.is_healthy(now));
+        let is_free = |s: &&Server| !s.is_busy(now, kind);
         let free: Vec<&Server> = near.iter().copied().filter(is_free).collect();
         let chosen = self.choose.choose(now, rng, &free).and_then(|i| free.get(i));
         if let Some(server) = chosen {
             return Nearby::Free(server.id.clone());
         }
-        let soonest = near.iter().map(|s| s.is_taken_for_busy_for(now, kind)).min();
+        let soonest = near.iter().map(|s| s.busy_for(now, kind)).min();
         soonest.map_or(Nearby::None, Nearby::BusyFor)
     }
 
-    /// Chooses a backend server of the own failure domain where a request that waits has its turn within
-    /// a time.
+    /// Chooses a backend server of this failure domain where a queued request starts within the
+    /// given time.
     pub fn choose_near_within(
         &mut self,
         now: Timestamp,
@@ -106,18 +107,17 @@
         kind: &str,
         within: Duration,
     ) -> Option<ServerId> {
-        let fits = |s: &Server| s.is_near() && s.has_room_within(now, kind, within);
-        let from = takers(&self.servers, now, tried, fits);
+        let fits = |s: &Server| s.is_near() && s.can_serve_within(now, kind, within);
+        let from = candidates(&self.servers, now, tried, fits);
         let chosen = self.choose.choose(now, rng, &from)?;
         from.get(chosen).map(|s| s.id.clone())
     }
 
-    /// Chooses a backend server among those where the request is not taken to be refused for the length
-    /// of the queue.
+    /// Chooses a backend server whose queue is not considered full.
     ///
     /// # Errors
     ///
-    /// Fails with the time after which that may change, when it is so everywhere.
+    /// Fails if all queues are considered full, with the time until the first may have space.
     pub fn choose_open(
         &mut self,
         now: Timestamp,
@@ -125,7 +125,7 @@
         tried: &[Arc<str>],
         kind: &str,
     ) -> Result<Option<ServerId>, Duration> {
-        let full_for = |s: &Server| s.is_taken_for_full_for(now, kind);
+        let full_for = |s: &Server| s.full_for(now, kind);
         let full: Vec<Arc<str>> = self
             .servers
             .iter()
@@ -141,50 +141,52 @@
         }
     }
 
-    /// Chooses the one backend server at which a request runs alone, but for barred ones: the same for all that hold the same
-    /// list and find the same ones open.
+    /// Chooses the backend server on which a suspect request runs in isolation, except barred ones.
+    ///
+    /// The choice is deterministic: daemons with the same list that consider the same servers
+    /// available choose the same one.
     pub fn choose_alone(
         &self,
         now: Timestamp,
         request: Fingerprint,
         barred: &[Arc<str>],
     ) -> Option<ServerId> {
-        let may = |s: &&Server| !s.id.out && s.takes_work(now) && !barred.contains(&s.id.name);
+        let may = |s: &&Server| !s.id.out && s.accepts_work(now) && !barred.contains(&s.id.name);
         let open = self.servers.iter().filter(may);
         let chosen = open.max_by_key(|s| suspects::weight(request, &s.id.host))?;
         Some(chosen.id.clone())
     }
 
-    /// Returns the backend servers of the list.
+    /// Returns the identities of all backend servers.
     pub fn ids(&self) -> impl Iterator<Item = &ServerId> {
         self.servers.iter().map(|server| &server.id)
     }
 
-    /// Returns what is known of a backend server.
+    /// Returns the state of a backend server by name.
     pub fn server(&mut self, name: &str) -> Option<&mut Server> {
         self.servers.iter_mut().find(|s| &*s.id.name == name)
     }
 }
 
-/// What the own failure domain has for a request.
+/// Availability of backend servers in this failure domain.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Nearby {
-    /// A backend server that is not taken for busy.
+    /// A backend server that is not considered busy.
     Free(ServerId),
-    /// Sound ones, but all are taken for busy for at least this time.
+    /// All healthy ones are considered busy for at least this time.
     BusyFor(Duration),
-    /// None that is sound.
+    /// There is no healthy one.
     None,
 }
 
-/// Returns the backend servers that take work, were not tried, and fit.
-fn takers<'a>(
+/// Returns the backend servers that accept work, were not tried, and fit.
+fn candidates<'a>(
     servers: &'a [Server],
     now: Timestamp,
     tried: &[Arc<str>],
     fits: impl Fn(&Server) -> bool,
 ) -> Vec<&'a Server> {
     let untried = |s: &Server| !tried.contains(&s.id.name) && !s.id.out;
-    let takes = |s: &&Server| untried(s) && s.takes_work(now) && fits(s);
-    servers.iter().filter(takes).collect()
+    let eligible = |s: &&Server| untried(s) && s.accepts_work(now) && fits(s);
+    servers.iter().filter(eligible).collect()
 }
--- a/crates/cherrystream-core/src/choose/policies.rs
+++ b/crates/cherrystream-core/src/choose/policies.rs
@@ -1,4 +1,4 @@
-//! The policies, each behind [`Choose`].
+//! Load balancing policies, each an implementation of [`Choose`].
 
 use super::Server;
 use crate::units::Timestamp;
@@ -8,11 +8,11 @@
 
 /// Chooses one of several backend servers.
 pub trait Choose {
-    /// Returns the index of the chosen one, or `None` when there is none.
+    /// Returns the index of the chosen server, or `None` if `from` is empty.
     fn choose(&mut self, now: Timestamp, rng: &mut SmallRng, from: &[&Server]) -> Option<usize>;
 }
 
-/// Creates a policy by its name in the settings.
+/// Creates the policy that the settings name.
 pub fn policy(name: ChoicePolicy) -> Box<dyn Choose + Send> {
     match name {
         ChoicePolicy::RoundRobin => Box::new(RoundRobin { next: 0 }),
@@ -50,7 +50,7 @@
         }
         let first = rng.random_range(0..from.len());
         let second = (first + rng.random_range(1..from.len())) % from.len();
-        let better = from[second].expected(now) < from[first].expected(now);
+        let better = from[second].expected_latency(now) < from[first].expected_latency(now);
         Some(if better { second } else { first })
     }
 }
@@ -59,14 +59,14 @@
 
 impl Choose for LowestLoad {
     fn choose(&mut self, now: Timestamp, rng: &mut SmallRng, from: &[&Server]) -> Option<usize> {
-        lowest(rng, from, |s| s.expected(now))
+        lowest(rng, from, |s| s.expected_latency(now))
     }
 }
 
-/// Returns one of those with the lowest score, at random among equals.
+/// Returns the index of a server with the lowest score; ties are broken at random.
 fn lowest(rng: &mut SmallRng, from: &[&Server], score: impl Fn(&Server) -> f64) -> Option<usize> {
     let scores: Vec<f64> = from.iter().map(|s| score(s)).collect();
-    let least = scores.iter().copied().min_by(f64::total_cmp)?;
-    let equals: Vec<usize> = (0..scores.len()).filter(|i| scores[*i] <= least).collect();
-    equals.get(rng.random_range(0..equals.len())).copied()
+    let lowest = scores.iter().copied().min_by(f64::total_cmp)?;
+    let ties: Vec<usize> = (0..scores.len()).filter(|i| scores[*i] <= lowest).collect();
+    ties.get(rng.random_range(0..ties.len())).copied()
 }
--- a/crates/cherrystream-core/src/choose/server.rs
+++ b/crates/cherrystream-core/src/choose/server.rs
@@ -1,4 +1,4 @@
-//! What an outbound knows of one backend server.
+//! State that an outbound keeps for one backend server.
 
 use super::refusals::Refusals;
 use crate::pace;
@@ -8,31 +8,30 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after which a report has lost most of its worth.
-const REPORT_WORTH: Duration = Duration::from_millis(200);
-/// Time after which half of an error's weight is gone.
+/// Time constant of the exponential decay of a load report.
+const REPORT_DECAY: Duration = Duration::from_millis(200);
+/// Half-life of the weight of an error.
 const ERROR_HALF_LIFE: Duration = Duration::from_secs(1);
-/// Share of a new sample in the average time of an answer.
-const LATENCY_SHARE: f64 = 0.1;
-/// Weight of recent errors from which a backend server does not count as sound: that of two errors.
-const SOUND_ERRORS: f64 = 0.15;
-/// How much an all-errors backend server is made to look slower.
+/// Weight of a new sample in the moving averages of latency and errors.
+const SAMPLE_WEIGHT: f64 = 0.1;
+/// Error weight from which a backend server is considered unhealthy: that of two recent errors.
+const UNHEALTHY_ERROR_WEIGHT: f64 = 0.15;
+/// Added latency factor of a backend server that returns only errors.
 const ERROR_PENALTY: f64 = 20.0;
-/// How much a stalled backend server is made to look slower.
+/// Latency factor of a stalled backend server.
 const STALL_PENALTY: f64 = 8.0;
-/// A request this many times older than usual is the sign of a stall.
+/// Multiple of the average latency at which a request in flight indicates a stall.
 const STALL_FACTOR: f64 = 5.0;
-/// A request younger than this is never the sign of a stall.
-const STALL_AT_LEAST: Duration = Duration::from_millis(15);
-/// Time for which a report that a backend server takes no work is believed.
-const CLOSED_WORTH: Duration = Duration::from_secs(2);
-/// Time for which a backend server that refused for good reason is left alone.
-const LEFT_ALONE: Duration = Duration::from_millis(500);
-
-/// Slowness below which a backend server works about as usual, as a factor.
-const AS_USUAL_BELOW: f64 = 1.3;
-
-/// How far away a backend server is.
+/// Smallest age of a request in flight that indicates a stall.
+const MIN_STALL_AGE: Duration = Duration::from_millis(15);
+/// Validity of a load report that a backend server accepts no work.
+const CLOSED_TTL: Duration = Duration::from_secs(2);
+/// Backoff after a refusal because the backend server or its host accepts no work.
+const CLOSED_BACKOFF: Duration = Duration::from_millis(500);
+/// Slowness factor from which a backend server is considered slow.
+const SLOW_FACTOR: f64 = 1.3;
+
+/// Network distance between this daemon and a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
     /// On the host of this daemon.
@@ -46,7 +45,7 @@
 }
 
 impl Distance {
-    /// Returns what the way there and back is taken to cost.
+    /// Returns the assumed network round-trip time.
     pub const fn cost(self) -> Duration {
         match self {
             Distance::SameHost => Duration::ZERO,
@@ -57,32 +56,33 @@
     }
 }
 
-/// A backend server by the accepted configuration.
+/// Identity of a backend server, from the configuration and its registration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerId {
-    /// Its name.
+    /// Name of the backend server.
     pub name: Arc<str>,
-    /// Its host.
+    /// Name of its host.
     pub host: Arc<str>,
-    /// Its slots.
+    /// Configured number of slots.
     pub slots: u32,
-    /// How far away it is.
+    /// Network distance from this daemon.
     pub distance: Distance,
-    /// Whether its host is out or leaving.
+    /// Whether its host is taken out of service or leaving.
     pub out: bool,
-    /// What sending work to another failure domain is taken to cost beyond the way.
+    /// Assumed cost of a request to another failure domain, in addition to the round trip.
     pub crossing_cost: Duration,
-    /// Start of its run, where it tells: of a later run nothing is known.
+    /// Unix time in milliseconds at which its instance started; 0 if not reported. A new instance
+    /// starts with empty state.
     pub born_ms: u64,
 }
 
 impl ServerId {
-    pub(super) fn is_same_run(&self, other: &ServerId) -> bool {
+    pub(super) fn is_same_instance(&self, other: &ServerId) -> bool {
         self.name == other.name && self.host == other.host && self.born_ms == other.born_ms
     }
 }
 
-/// What is known of a backend server.
+/// Observed state of a backend server.
 #[derive(Debug)]
 pub struct Server {
     pub(super) id: ServerId,
@@ -93,12 +93,12 @@
     latency: Duration,
     errors: f64,
     errors_at: Timestamp,
-    left_alone_until: Timestamp,
+    backoff_until: Timestamp,
     refusals: Refusals,
     next_call: u64,
 }
 
-/// A call on its way to a backend server.
+/// Identifier of a call in flight to a backend server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sent(u64);
 
@@ -113,13 +113,13 @@
             latency: Duration::from_millis(2),
             errors: 0.0,
             errors_at: Timestamp::default(),
-            left_alone_until: Timestamp::default(),
+            backoff_until: Timestamp::default(),
             refusals: Refusals::default(),
             next_call: 0,
         }
     }
 
-    /// Notes that a call is sent there.
+    /// Records that a call is sent.
     pub fn on_sent(&mut self, now: Timestamp) -> Sent {
         self.next_call += 1;
         self.started_since_report += 1;
@@ -127,64 +127,65 @@
         Sent(self.next_call)
     }
 
-    /// Notes that a call has ended, however it ended.
+    /// Records the end of a call, whatever its result.
     pub fn on_ended(&mut self, sent: Sent) {
         self.in_flight.remove(&sent.0);
     }
 
-    /// Notes the time of a good answer.
+    /// Records the latency of a successful answer.
     pub fn on_answer(&mut self, took: Duration) {
         let mean = self.latency.as_secs_f64();
-        let mean = mean + LATENCY_SHARE * (took.as_secs_f64() - mean);
+        let mean = mean + SAMPLE_WEIGHT * (took.as_secs_f64() - mean);
         self.latency = Duration::from_secs_f64(mean);
     }
 
-    /// Notes a failed or broken answer. Its time is not taken as a sign of speed.
+    /// Records a failed or broken answer. Its latency is not recorded.
     pub fn on_error(&mut self, now: Timestamp) {
-        self.errors = self.error_weight(now) * (1.0 - LATENCY_SHARE) + LATENCY_SHARE;
+        self.errors = self.error_weight(now) * (1.0 - SAMPLE_WEIGHT) + SAMPLE_WEIGHT;
         self.errors_at = now;
     }
 
-    /// Notes that the backend server or its host takes no work for now.
+    /// Records that the backend server or its host currently accepts no work.
     pub fn on_closed(&mut self, now: Timestamp) {
-        self.left_alone_until = now + LEFT_ALONE;
+        self.backoff_until = now + CLOSED_BACKOFF;
     }
 
-    /// Notes that its inbound turned a request down for being busy, and for how long that may last.
+    /// Records that its inbound refused a request for lack of a free slot, and how long this may
+    /// last.
     pub fn on_busy(&mut self, now: Timestamp, kind: &str, lasts: Duration) {
         self.refusals.on_busy(now, kind, lasts);
     }
 
-    /// Notes that its inbound refused a request that could not wait for its turn, and for how long that
+    /// Records that its inbound refused a request for the length of its queue, and how long this
     /// may last.
     pub fn on_full(&mut self, now: Timestamp, kind: &str, lasts: Duration) {
         self.refusals.on_full(now, kind, lasts);
     }
 
-    /// Returns whether an offer there would only be turned down.
-    pub fn is_taken_for_busy(&self, now: Timestamp, kind: &str) -> bool {
+    /// Returns whether a request is expected to be refused for lack of a free slot.
+    pub fn is_busy(&self, now: Timestamp, kind: &str) -> bool {
         !self.refusals.busy_for(now, kind).is_zero()
     }
 
-    /// Returns how long an offer there would only be turned down.
-    pub fn is_taken_for_busy_for(&self, now: Timestamp, kind: &str) -> Duration {
+    /// Returns how long a request is expected to be refused for lack of a free slot.
+    pub fn busy_for(&self, now: Timestamp, kind: &str) -> Duration {
         self.refusals.busy_for(now, kind)
     }
 
-    /// Returns how long a request would only be refused there.
-    pub fn is_taken_for_full_for(&self, now: Timestamp, kind: &str) -> Duration {
+    /// Returns how long a request is expected to be refused for the length of the queue.
+    pub fn full_for(&self, now: Timestamp, kind: &str) -> Duration {
         self.refusals.full_for(now, kind)
     }
 
-    /// Takes a report, unless a later one of the same incarnation is known.
+    /// Records a load report, unless a later one of the same incarnation was received.
     pub fn on_report(&mut self, now: Timestamp, report: Report) {
         let stale = self.report.as_ref().is_some_and(|old| {
             old.incarnation == report.incarnation && old.sequence > report.sequence
         });
         if !stale {
-            let has_room = report.queued == 0 && report.in_flight < report.slots;
-            if has_room && report.slowness <= pace::USUAL {
-                self.refusals.on_room();
+            let has_free_slots = report.queued == 0 && report.in_flight < report.slots;
+            if has_free_slots && report.slowness <= pace::USUAL {
+                self.refusals.on_free_slots();
             }
             self.report = Some(report);
             self.report_at = now;
@@ -192,79 +193,79 @@
         }
     }
 
-    /// Returns the incarnation of its inbound, if known.
+    /// Returns the incarnation of its inbound from the last load report.
     pub fn incarnation(&self) -> Option<u64> {
         self.report.as_ref().map(|r| r.incarnation)
     }
 
-    /// Returns whether it is worth sending work there.
-    pub fn takes_work(&self, now: Timestamp) -> bool {
-        let said_closed = self.report.as_ref().is_some_and(|r| r.state != ServerState::Live);
-        // Its word is asked for anew from time to time: nobody tells that it is back.
-        let lately = now.since(self.report_at) < CLOSED_WORTH;
-        now >= self.left_alone_until && !(said_closed && lately)
+    /// Returns whether the backend server is expected to accept work.
+    pub fn accepts_work(&self, now: Timestamp) -> bool {
+        let reported_closed = self.report.as_ref().is_some_and(|r| r.state != ServerState::Live);
+        // The report expires, because no message announces that the server accepts work again.
+        let recent = now.since(self.report_at) < CLOSED_TTL;
+        now >= self.backoff_until && !(reported_closed && recent)
     }
 
-    /// Returns whether a request that waits there has its turn within a time, and is then served as
-    /// usual.
-    pub fn has_room_within(&self, now: Timestamp, kind: &str, within: Duration) -> bool {
+    /// Returns whether a queued request is expected to start within a time, on a backend server
+    /// that is healthy and not slow.
+    pub fn can_serve_within(&self, now: Timestamp, kind: &str, within: Duration) -> bool {
         let full = !self.refusals.full_for(now, kind).is_zero();
-        let as_usual = self.slowness(now) < AS_USUAL_BELOW && self.is_sound(now);
-        !full && as_usual && self.refusals.busy_for(now, kind) <= within
+        let is_normal = self.slowness(now) < SLOW_FACTOR && self.is_healthy(now);
+        !full && is_normal && self.refusals.busy_for(now, kind) <= within
     }
 
-    /// Returns whether it is in the failure domain of this daemon.
+    /// Returns whether the backend server is in the failure domain of this daemon.
     pub fn is_near(&self) -> bool {
         self.id.distance <= Distance::SameDomain
     }
 
-    /// Returns whether it has answered lately without errors or a stall.
-    pub fn is_sound(&self, now: Timestamp) -> bool {
-        self.error_weight(now) < SOUND_ERRORS && !self.is_stalled(now)
+    /// Returns whether there are few recent errors and no stalled request.
+    pub fn is_healthy(&self, now: Timestamp) -> bool {
+        self.error_weight(now) < UNHEALTHY_ERROR_WEIGHT && !self.is_stalled(now)
     }
 
-    /// Returns the number of this outbound's calls in flight there.
+    /// Returns the number of calls of this outbound in flight to the backend server.
     pub fn own_in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Returns the expected time of an answer in seconds, for comparison only.
-    pub fn expected(&self, now: Timestamp) -> f64 {
+    /// Returns the expected latency in seconds, with penalties; for comparison only.
+    pub fn expected_latency(&self, now: Timestamp) -> f64 {
         let slots = f64::from(self.slots().max(1));
         let load = (self.load(now) + 1.0) / slots;
-        // Waiting begins where the slots end; below, load still slows a shared host.
-        let crowding = 1.0 + load * load + 2.0 * (load - 1.0).max(0.0);
+        // Above the number of slots, requests are queued. Below it, load slows a shared host.
+        let queueing = 1.0 + load * load + 2.0 * (load - 1.0).max(0.0);
         let errors = 1.0 + ERROR_PENALTY * self.error_weight(now);
         let stall = if self.is_stalled(now) { STALL_PENALTY } else { 1.0 };
         let crosses = self.id.distance >= Distance::SameRegion;
         let crossing = if crosses { self.id.crossing_cost } else { Duration::ZERO };
-        let way = (self.id.distance.cost() + crossing).as_secs_f64();
-        let pace = self.slowness(now);
-        (way + self.latency_estimate().as_secs_f64() * crowding * pace) * errors * stall
+        let network = (self.id.distance.cost() + crossing).as_secs_f64();
+        let slowness = self.slowness(now);
+        (network + self.latency_estimate().as_secs_f64() * queueing * slowness) * errors * stall
     }
 
     fn slots(&self) -> u32 {
         self.report.as_ref().map_or(self.id.slots, |r| r.slots)
     }
 
-    /// Load there: the report as far as it is fresh, and what was sent since.
+    /// Returns the estimated number of requests: the decayed load report plus calls sent since.
     fn load(&self, now: Timestamp) -> f64 {
         let own = self.in_flight.len() as f64;
         let Some(report) = &self.report else { return own };
         let age = now.since(self.report_at).as_secs_f64();
-        let worth = (-age / REPORT_WORTH.as_secs_f64()).exp();
+        let decay = (-age / REPORT_DECAY.as_secs_f64()).exp();
         let reported = f64::from(report.in_flight + report.queued);
-        let others = (reported - own).max(0.0) * worth;
-        own.max(others + f64::from(self.started_since_report)).max(others + own * worth)
+        let others = (reported - own).max(0.0) * decay;
+        own.max(others + f64::from(self.started_since_report)).max(others + own * decay)
     }
 
-    /// Slowness by the last report, as a factor: its worth fades as that of the load does.
+    /// Returns the slowness factor of the last report, which decays towards 1.
     fn slowness(&self, now: Timestamp) -> f64 {
         let Some(report) = &self.report else { return 1.0 };
         let age = now.since(self.report_at).as_secs_f64();
-        let worth = (-age / REPORT_WORTH.as_secs_f64()).exp();
-        let told = f64::from(report.slowness) / f64::from(pace::USUAL);
-        1.0 + (told - 1.0) * worth
+        let decay = (-age / REPORT_DECAY.as_secs_f64()).exp();
+        let reported = f64::from(report.slowness) / f64::from(pace::USUAL);
+        1.0 + (reported - 1.0) * decay
     }
 
     fn latency_estimate(&self) -> Duration {
@@ -282,6 +283,6 @@
     fn is_stalled(&self, now: Timestamp) -> bool {
         let Some(oldest) = self.in_flight.values().next() else { return false };
         let age = now.since(*oldest);
-        age > STALL_AT_LEAST && age > self.latency.mul_f64(STALL_FACTOR)
+        age > MIN_STALL_AGE && age > self.latency.mul_f64(STALL_FACTOR)
     }
 }
--- a/crates/cherrystream-core/src/distribution/download.rs
+++ b/crates/cherrystream-core/src/distribution/download.rs
@@ -1,78 +1,79 @@
-//! What has come of an encoded update.
+//! Download of an encoded update in chunks.
 
-use super::encoded::BYTES_AT_MOST;
+use super::encoded::MAX_UPDATE_BYTES;
 use super::{Encoded, Unreadable};
 use crate::units::Timestamp;
 use cherrystream_schema::messages::StateId;
 use snafu::{ResultExt, Snafu, ensure};
 use std::time::Duration;
 
-/// Time without progress after which control is asked for another offer: whoever made this one may be gone. Chunks are
-/// made to take a fifth of it at most. What has come stays, and counts if the same update is offered again.
-const STALLED: Duration = Duration::from_millis(1_000);
-/// Share of the time within which a change is to be in force that a download may spend on leaving the link to
-/// requests. The rest is for its way through control, and for others that fetch behind this daemon.
-const COURTEOUS_SHARE: f64 = 0.25;
+/// Time without progress after which control is asked for another offer, because the source of this
+/// one may be gone. Received bytes are kept for the case that the same update is offered again.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Share of the time limit of a change during which a download pauses to leave bandwidth to
+/// requests. The rest is for control and for daemons that fetch from this one.
+const PAUSING_SHARE: f64 = 0.25;
 
-/// Why a chunk is refused.
+/// Reason why a chunk is invalid.
 #[derive(Debug, Snafu)]
 pub enum ChunkFault {
-    /// It goes beyond the end.
-    #[snafu(display("a chunk goes beyond the end of the update"))]
+    /// The chunk exceeds the size of the update.
+    #[snafu(display("the chunk exceeds the size of the update"))]
     TooLong,
-    /// The whole is not what was offered.
+    /// The complete data is not the offered update.
     #[snafu(display("{source}"))]
     Whole {
-        /// What is wrong with it.
+        /// Error of the encoded update.
         source: Unreadable,
     },
 }
 
-/// What a chunk led to.
+/// Result of a valid chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Taken {
-    /// More is to come.
+    /// More chunks are expected.
     Partial,
-    /// It was not the next one, and changed nothing.
+    /// The chunk was not the next one and was ignored.
     Ignored,
-    /// All is there.
+    /// The update is complete.
     Whole(Encoded),
 }
 
-/// A download. Memory grows with the bytes that came, not with those that were announced.
+/// Download of an update. Memory grows with the received bytes, not with the announced size.
 #[derive(Debug)]
 pub struct Download {
     id: StateId,
     bytes: Vec<u8>,
     progressed: Timestamp,
-    hurries_from: Timestamp,
+    /// Time until which the download pauses between chunks.
+    pauses_until: Timestamp,
 }
 
 impl Download {
-    /// Begins to fetch an update that is to be in force `within` that time. Returns `None` for one that is
-    /// longer than any update may be.
+    /// Starts the download of an update that has to be applied within a time. Returns `None` if the
+    /// update is empty or exceeds the size limit.
     pub fn new(now: Timestamp, id: StateId, within: Duration) -> Option<Download> {
-        let hurries_from = now + within.mul_f64(COURTEOUS_SHARE);
-        let download = Download { id, bytes: Vec::new(), progressed: now, hurries_from };
-        (id.bytes > 0 && id.bytes <= BYTES_AT_MOST).then_some(download)
+        let pauses_until = now + within.mul_f64(PAUSING_SHARE);
+        let download = Download { id, bytes: Vec::new(), progressed: now, pauses_until };
+        (id.bytes > 0 && id.bytes <= MAX_UPDATE_BYTES).then_some(download)
     }
 
-    /// Returns the name of the update.
+    /// Returns the identifier of the update.
     pub fn id(&self) -> StateId {
         self.id
     }
 
-    /// Returns the number of bytes that have come, which is where the next chunk begins.
+    /// Returns the number of received bytes, which is the offset of the next chunk.
     pub fn received(&self) -> u64 {
         self.bytes.len() as u64
     }
 
-    /// Takes a chunk.
+    /// Handles a chunk.
     ///
     /// # Errors
     ///
-    /// Fails on a chunk that cannot be of this update, and on bytes that do not match their checksum; the download
-    /// is of no use then.
+    /// Fails if the chunk exceeds the size of the update or the complete data does not match its
+    /// checksum. The download must then be discarded.
     pub fn take(&mut self, now: Timestamp, offset: u64, data: &[u8]) -> Result<Taken, ChunkFault> {
         if offset != self.received() || data.is_empty() {
             return Ok(Taken::Ignored);
@@ -87,26 +88,26 @@
         Encoded::from_bytes(self.id, bytes).map(Taken::Whole).context(WholeSnafu)
     }
 
-    /// Returns whether it has made no progress for so long that another offer is wanted.
+    /// Returns whether the download has made no progress for so long that it needs another offer.
     pub fn is_stalled(&self, now: Timestamp) -> bool {
-        now.since(self.progressed) >= STALLED
+        now.since(self.progressed) >= STALL_TIMEOUT
     }
 
-    /// Notes that the same update was offered once more.
+    /// Records that the same update was offered again.
     pub fn renew(&mut self, now: Timestamp) {
         self.progressed = now;
     }
 
-    /// Returns the number of bytes that are still to come.
+    /// Returns the number of missing bytes.
     pub fn left(&self) -> u64 {
         self.id.bytes - self.received()
     }
 
-    /// Returns how long to leave the link to requests after a chunk of so many bytes that took `took`: as long as
-    /// it took, while all of it can still be there in good time.
+    /// Returns how long to pause after a chunk of `bytes` that took `took`: as long as the chunk
+    /// took, if the download can still complete in time, else zero.
     pub fn rest(&self, now: Timestamp, bytes: usize, took: Duration) -> Duration {
         let left = self.left() as f64 / bytes.max(1) as f64;
         let done = now + took.mul_f64(2.0 * left);
-        if done <= self.hurries_from { took } else { Duration::ZERO }
+        if done <= self.pauses_until { took } else { Duration::ZERO }
     }
 }
--- a/crates/cherrystream-core/src/distribution/encoded.rs
+++ b/crates/cherrystream-core/src/distribution/encoded.rs
@@ -1,4 +1,4 @@
-//! An update as the bytes that travel.
+//! Encoding of updates.
 
 use crate::units::Revision;
 use cherrystream_schema::messages::{StateId, Update};
@@ -9,34 +9,33 @@
 use std::io::{self, Read, Write};
 use std::sync::Arc;
 
-/// Longest text of an update, and so the most that an encoded one may unpack to: 50 times the state at the
-/// size to design for with 14,000 routes.
-pub const BYTES_AT_MOST: u64 = 256 << 20;
+/// Largest size in bytes of the text of an update, and so of the decompressed data.
+pub const MAX_UPDATE_BYTES: u64 = 256 << 20;
 
-/// Why bytes are no update.
+/// Error of decoding an update.
 #[derive(Debug, Snafu)]
 pub enum Unreadable {
-    /// They are not those that were offered.
+    /// The bytes are not the offered ones.
     #[snafu(display("the bytes do not match their checksum"))]
     Checksum,
-    /// They cannot be unpacked.
-    #[snafu(display("the bytes cannot be unpacked: {source}"))]
+    /// The bytes cannot be decompressed.
+    #[snafu(display("the bytes cannot be decompressed: {source}"))]
     Packing {
-        /// Where they are wrong.
+        /// Error of the decompression.
         source: io::Error,
     },
-    /// The text is no update.
-    #[snafu(display("the text is no update: {source}"))]
+    /// The text is not an update.
+    #[snafu(display("the text is not an update: {source}"))]
     Text {
-        /// Where it is wrong.
+        /// Error of the parser.
         source: serde_json::Error,
     },
-    /// The update leads to another revision than was offered.
-    #[snafu(display("the update is not the one that was offered"))]
+    /// The update has another revision than offered.
+    #[snafu(display("the update is not the offered one"))]
     Other,
 }
 
-/// An encoded update.
+/// Compressed update with its identifier.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Encoded {
     id: StateId,
@@ -44,42 +43,42 @@
 }
 
 impl Encoded {
-    /// Encodes an update that builds on `from`; one with the whole state builds on nothing.
+    /// Encodes an update that applies to revision `from`. One with the whole state applies to any.
     ///
     /// # Panics
     ///
-    /// Never: an update always has a JSON form, and memory takes all that is written to it.
+    /// Never: an update serializes without errors, and writing to memory does not fail.
     pub fn new(from: Revision, update: &Update) -> Encoded {
-        // Written piece by piece into the encoder it takes eight times as long.
-        let text = serde_json::to_vec(update).expect("an update always has a JSON form");
+        // Serializing to memory first is faster than writing to the encoder directly.
+        let text = serde_json::to_vec(update).expect("an update serializes to JSON");
         let mut encoder = ZlibEncoder::new(Vec::new(), Compression::default());
-        encoder.write_all(&text).expect("memory can be written to");
-        let bytes = encoder.finish().expect("memory can be written to");
+        encoder.write_all(&text).expect("writing to memory does not fail");
+        let bytes = encoder.finish().expect("writing to memory does not fail");
         let from = if update.full.is_some() { Revision::default() } else { from };
         let checksum = crc32fast::hash(&bytes);
         let id = StateId { from, to: update.revision, bytes: bytes.len() as u64, checksum };
         Encoded { id, bytes: bytes.into() }
     }
 
-    /// Takes the bytes that came under a name.
+    /// Creates an encoded update from received bytes.
     ///
     /// # Errors
     ///
-    /// Fails when they do not match their checksum.
+    /// Fails if the bytes do not match the size and checksum of the identifier.
     pub fn from_bytes(id: StateId, bytes: Vec<u8>) -> Result<Encoded, Unreadable> {
         let same = bytes.len() as u64 == id.bytes && crc32fast::hash(&bytes) == id.checksum;
         ensure!(same, ChecksumSnafu);
         Ok(Encoded { id, bytes: bytes.into() })
     }
 
-    /// Returns the update.
+    /// Decodes the update.
     ///
     /// # Errors
     ///
-    /// Fails when the bytes hold none, or one that leads elsewhere than the name says.
+    /// Fails if the bytes are not an update, or one that does not match the identifier.
     pub fn decode(&self) -> Result<Update, Unreadable> {
         let mut text = Vec::new();
-        let mut decoder = ZlibDecoder::new(&*self.bytes).take(BYTES_AT_MOST);
+        let mut decoder = ZlibDecoder::new(&*self.bytes).take(MAX_UPDATE_BYTES);
         decoder.read_to_end(&mut text).context(PackingSnafu)?;
         let update: Update = serde_json::from_slice(&text).context(TextSnafu)?;
         let whole = self.id.from == Revision::default();
@@ -87,15 +86,15 @@
         Ok(update)
     }
 
-    /// Returns its name.
+    /// Returns the identifier of the update.
     pub fn id(&self) -> StateId {
         self.id
     }
 
-    /// Returns up to `most` bytes from `offset` on; `None` beyond the end.
-    pub fn chunk(&self, offset: u64, most: usize) -> Option<&[u8]> {
+    /// Returns up to `max_len` bytes at `offset`, or `None` at or beyond the end.
+    pub fn chunk(&self, offset: u64, max_len: usize) -> Option<&[u8]> {
         let rest = self.bytes.get(usize::try_from(offset).ok()?..)?;
-        let chunk = &rest[..rest.len().min(most)];
+        let chunk = &rest[..rest.len().min(max_len)];
         (!chunk.is_empty()).then_some(chunk)
     }
 }
--- a/crates/cherrystream-core/src/distribution/gather.rs
+++ b/crates/cherrystream-core/src/distribution/gather.rs
@@ -1,29 +1,29 @@
-//! When daemons are told of changes: at once after a quiet time, else those that come together together.
+//! Batching of changes before they are sent to daemons.
 //!
-//! Load: 300 daemons that register within 1.5 s, each twice. Told one by one, each registration is a message to each
-//! daemon; gathered, they go out encoded once, at a tenth of the bytes.
+//! A change is sent at once after a quiet period. Otherwise changes are collected for a short time
+//! and sent together, which saves messages when many daemons register at the same time.
 
 use crate::units::Timestamp;
 use std::time::Duration;
 
-/// Shortest time between two moments at which daemons are told: a thirteenth of the 2.5 s within which a change is to
-/// be in force where that is shortest.
-const GATHER: Duration = Duration::from_millis(200);
+/// Shortest time between two batches.
+const MIN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The last moment at which daemons were told.
+/// Schedule of the batches of changes.
 #[derive(Debug, Default)]
 pub struct Gather {
+    /// Time of the last batch.
     last: Option<Timestamp>,
 }
 
 impl Gather {
-    /// Returns when daemons are told of a change that is there now.
+    /// Returns when to send a change that is accepted now.
     pub fn due(&self, now: Timestamp) -> Timestamp {
-        let earliest = self.last.map_or(now, |last| last + GATHER);
+        let earliest = self.last.map_or(now, |last| last + MIN_INTERVAL);
         earliest.max(now)
     }
 
-    /// Notes that they are told now.
+    /// Records that a batch is sent now.
     pub fn on_told(&mut self, now: Timestamp) {
         self.last = Some(now);
     }
--- a/crates/cherrystream-core/src/distribution/library.rs
+++ b/crates/cherrystream-core/src/distribution/library.rs
@@ -1,55 +1,59 @@
-//! Encoded updates that are kept for those who ask next.
+//! Cache of encoded updates.
 
 use super::Encoded;
 use crate::units::Revision;
 use cherrystream_schema::messages::StateId;
 use std::collections::VecDeque;
 
-/// Updates kept at most: daemons that are a few changes behind each other ask for different ones.
-const KEPT: usize = 32;
+/// Largest number of cached updates. Daemons at different revisions need different updates.
+const MAX_UPDATES: usize = 32;
 
-/// The updates, the one that was used last in front.
+/// Cache of encoded updates, least recently used evicted first.
 #[derive(Debug)]
 pub struct Library {
-    bytes_at_most: u64,
-    kept: VecDeque<Encoded>,
+    max_bytes: u64,
+    /// Updates, most recently used first.
+    updates: VecDeque<Encoded>,
 }
 
 impl Library {
-    /// Creates an empty library that holds so many bytes at most, or one update.
-    pub fn new(bytes_at_most: u64) -> Library {
-        Library { bytes_at_most, kept: VecDeque::new() }
+    /// Creates an empty cache that holds up to `max_bytes`, or a single larger update.
+    pub fn new(max_bytes: u64) -> Library {
+        Library { max_bytes, updates: VecDeque::new() }
     }
 
-    /// Adds an update; those that were not used for longest go.
+    /// Adds an update, and evicts the least recently used ones beyond the limits.
     pub fn add(&mut self, encoded: Encoded) {
-        self.kept.retain(|kept| kept.id() != encoded.id());
-        self.kept.push_front(encoded);
-        while self.kept.len() > KEPT || self.kept.len() > 1 && self.bytes() > self.bytes_at_most {
-            self.kept.pop_back();
+        self.updates.retain(|update| update.id() != encoded.id());
+        self.updates.push_front(encoded);
+        while self.updates.len() > MAX_UPDATES
+            || self.updates.len() > 1 && self.bytes() > self.max_bytes
+        {
+            self.updates.pop_back();
         }
     }
 
-    /// Returns the update with a name.
+    /// Returns the update with an identifier, and records its use.
     pub fn get(&mut self, id: &StateId) -> Option<&Encoded> {
-        let at = self.kept.iter().position(|kept| kept.id() == *id)?;
-        let found = self.kept.remove(at)?;
-        self.kept.push_front(found);
-        self.kept.front()
+        let position = self.updates.iter().position(|update| update.id() == *id)?;
+        let found = self.updates.remove(position)?;
+        self.updates.push_front(found);
+        self.updates.front()
     }
 
-    /// Returns the update that leads furthest from a revision; from zero on lead whole states.
+    /// Returns the update from a revision to the latest one. Updates with the whole state start at
+    /// revision zero.
     pub fn furthest(&self, from: Revision) -> Option<&Encoded> {
-        let known = self.kept.iter().filter(|kept| kept.id().from == from);
-        known.max_by_key(|kept| kept.id().to)
+        let updates = self.updates.iter().filter(|update| update.id().from == from);
+        updates.max_by_key(|update| update.id().to)
     }
 
-    /// Returns whether an update with a name is kept.
+    /// Returns whether the update with an identifier is cached.
     pub fn holds(&self, id: &StateId) -> bool {
-        self.kept.iter().any(|kept| kept.id() == *id)
+        self.updates.iter().any(|update| update.id() == *id)
     }
 
     fn bytes(&self) -> u64 {
-        self.kept.iter().map(|kept| kept.id().bytes).sum()
+        self.updates.iter().map(|update| update.id().bytes).sum()
     }
 }
--- a/crates/cherrystream-core/src/distribution/mod.rs
+++ b/crates/cherrystream-core/src/distribution/mod.rs
@@ -1,11 +1,10 @@
-//! How the shared state reaches every daemon.
+//! Distribution of the shared state to daemons.
 //!
-//! What a daemon lacks may be a line or the whole state, and its link may be thin. So a long update is
-//! [`Encoded`] once and fetched in chunks: what has come of a [`Download`] outlasts connections and
-//! replicas, and what counts is the time without progress, never the time in all. Encoded updates are
-//! kept in a [`Library`] for those who ask next, and [`Crossing`] lets few daemons of a failure domain
-//! fetch from afar while the others wait for one of them. Changes that come together are told together
-//! ([`Gather`]).
+//! A daemon may need a single change or the whole state, over a slow link. A long update is
+//! [`Encoded`] once and fetched in chunks. A [`Download`] continues over several connections and
+//! replicas, and fails only after a time without progress. Encoded updates are cached in a
+//! [`Library`]. [`Crossing`] lets a few daemons of a failure domain fetch from a remote replica,
+//! and the others from these. [`Gather`] batches changes that are accepted within a short time.
 
 mod crossing;
 mod download;
@@ -16,7 +15,7 @@
 
 pub use crossing::{Asker, Crossing, Way};
 pub use download::{ChunkFault, Download, Taken};
-pub use encoded::{BYTES_AT_MOST, Encoded, Unreadable};
+pub use encoded::{Encoded, MAX_UPDATE_BYTES, Unreadable};
 pub use gather::Gather;
 pub use library::Library;
 pub use weight::{LIGHT, of_changes, of_state};
--- a/crates/cherrystream-core/src/distribution/weight.rs
+++ b/crates/cherrystream-core/src/distribution/weight.rs
@@ -1,12 +1,11 @@
-//! How much an update holds, without writing it down.
+//! Size estimates of updates without encoding them.
 
 use cherrystream_schema::messages::{Change, RouteTable, Shared};
 
-/// Items of an update that goes out as it is: about 7 KB of JSON at the 280 bytes that a route, a host or an
-/// instance takes, a fifth of a second of a link of 0.3 Mbit/s.
+/// Largest number of items in an update that is sent inline instead of being fetched in chunks.
 pub const LIGHT: usize = 24;
 
-/// Returns the number of items that changes hold: routes, hosts, instances and the like.
+/// Returns the number of items in changes: routes, hosts, instances and similar.
 pub fn of_changes<'a>(changes: impl Iterator<Item = &'a Change>) -> usize {
     changes.map(of_change).sum()
 }
@@ -14,9 +13,9 @@
 fn of_change(change: &Change) -> usize {
     match change {
         Change::PatchRoutes { put, removed, services, workspaces, workspaces_removed, .. } => {
-            // The name of a route or workspace that is gone is a tenth of one.
-            let gone = removed.len() + workspaces_removed.len();
-            put.len() + gone / 10 + services.len() + workspaces.len()
+            // The name of a removed route or workspace is about a tenth of its size.
+            let removed_names = removed.len() + workspaces_removed.len();
+            put.len() + removed_names / 10 + services.len() + workspaces.len()
         }
         Change::Operator { .. }
         | Change::PutHost { .. }
@@ -27,7 +26,7 @@
     }
 }
 
-/// Returns the number of items that a whole state holds.
+/// Returns the number of items in a whole state.
 pub fn of_state(shared: &Shared) -> usize {
     let services = shared.config.services.values();
     let configured: usize = services.map(|s| 1 + s.kinds.len() + s.backend_servers.len()).sum();
--- a/crates/cherrystream-core/src/errors.rs
+++ b/crates/cherrystream-core/src/errors.rs
@@ -1,15 +1,15 @@
-//! Errors of the decisions, each with its remedy.
+//! Errors of operator calls, each with its remedy.
 
 use snafu::Snafu;
 
 /// A result whose error is [`Error`].
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// What can be wrong with an operator's call.
+/// Error of an operator call.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
-    /// The intent names something that does not exist.
+    /// The intent names an object that does not exist.
     #[snafu(display("there is no {what} '{name}'"))]
     Missing {
         /// What kind of thing was named.
@@ -19,17 +19,17 @@
         /// What to do about it.
         remedy: String,
     },
-    /// A value of the intent cannot be used.
+    /// A value of the intent is invalid.
     #[snafu(display("{field} is '{value}', which cannot be used"))]
     BadValue {
-        /// Field of the intent.
+        /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: String,
         /// What to do about it.
         remedy: String,
     },
-    /// Something that the intent needs is still in use.
+    /// The intent would not change the object.
     #[snafu(display("{what} '{name}' would change nothing"))]
     NoChange {
         /// What kind of thing was named.
@@ -37,20 +37,20 @@
         /// Its name.
         name: String,
     },
-    /// Something else of the same sort is under way.
+    /// Another operation of the same type is in progress.
     #[snafu(display("the {what} '{name}' is under way"))]
     Busy {
-        /// What sort of thing it is.
+        /// Type of the operation.
         what: &'static str,
         /// Its name.
         name: String,
-        /// What the operator can do.
+        /// What to do about it.
         remedy: String,
     },
     /// The configuration changed after the plan was made.
     #[snafu(display("the configuration changed since this plan was made: {changes}"))]
     Conflict {
-        /// The changes that were accepted in between.
+        /// Changes that were accepted in between.
         changes: String,
     },
     /// The plan has expired.
@@ -65,7 +65,7 @@
 }
 
 impl Error {
-    /// Returns what the operator can do about the error.
+    /// Returns the remedy for the error.
     pub fn remedy(&self) -> String {
         match self {
             Error::Missing { remedy, .. }
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Returns the HTTP status that tells this error to a program.
+    /// Returns the HTTP status for the error.
     pub fn status(&self) -> u16 {
         match self {
             Error::Missing { .. } => 404,
@@ -92,12 +92,12 @@
     }
 }
 
-/// Returns the error for a name that does not exist.
+/// Returns [`Error::Missing`].
 pub fn missing<T>(what: &'static str, name: &str, remedy: impl Into<String>) -> Result<T> {
     Err(Error::Missing { what, name: name.into(), remedy: remedy.into() })
 }
 
-/// Returns the error for a value that cannot be used.
+/// Returns [`Error::BadValue`].
 pub fn bad_value<T>(
     field: &'static str,
     value: impl ToString,
@@ -106,7 +106,7 @@
     Err(Error::BadValue { field, value: value.to_string(), remedy: remedy.into() })
 }
 
-/// Returns the error for something else that is under way.
+/// Returns [`Error::Busy`].
 pub fn busy<T>(what: &'static str, name: &str, remedy: impl Into<String>) -> Result<T> {
     Err(Error::Busy { what, name: name.into(), remedy: remedy.into() })
 }
--- a/crates/cherrystream-core/src/kinds.rs
+++ b/crates/cherrystream-core/src/kinds.rs
@@ -1,38 +1,38 @@
-//! Finds the kind of a request.
+//! Classification of requests into kinds.
 
 use cherrystream_schema::messages;
 use std::time::Duration;
 
-/// Deadline of a request whose kind no operator has described.
+/// Deadline of a request that matches no configured kind.
 pub const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
-/// Weight of a request whose kind no operator has described.
+/// Weight of a request that matches no configured kind.
 pub const DEFAULT_WEIGHT: u32 = 1;
 
-/// What the balancer must know of a request before it sends it on.
+/// Properties of a request that decide how it is balanced.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Treatment {
     /// Name of the kind, or `other`.
     pub kind: String,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether the request must run at most once and so needs a key.
+    /// Whether the request must run at most once and requires an idempotency key.
     pub needs_key: bool,
-    /// Weight when load is shed.
+    /// Weight for load shedding.
     pub weight: u32,
     /// Time that the call may take.
     pub deadline: Duration,
 }
 
-/// Returns how a request is treated: by the kind with the longest prefix that fits, else by its
-/// method alone.
+/// Returns the properties of a request: those of the matching kind with the longest path prefix,
+/// else defaults for its method.
 pub fn treatment(service: &messages::Service, method: &str, path: &str) -> Treatment {
-    let fits = |kind: &messages::Kind| {
+    let matches = |kind: &messages::Kind| {
         kind.method.eq_ignore_ascii_case(method) && path.starts_with(&kind.path_prefix)
     };
     let found = service
         .kinds
         .iter()
-        .filter(|(_, kind)| fits(kind))
+        .filter(|(_, kind)| matches(kind))
         .max_by_key(|(_, kind)| kind.path_prefix.len());
     match found {
         Some((name, kind)) => Treatment {
@@ -42,11 +42,11 @@
             weight: kind.weight,
             deadline: Duration::from_millis(kind.deadline_ms),
         },
-        None => undescribed(method),
+        None => default_treatment(method),
     }
 }
 
-fn undescribed(method: &str) -> Treatment {
+fn default_treatment(method: &str) -> Treatment {
     Treatment {
         kind: "other".into(),
         repeatable: matches!(method, "GET" | "HEAD"),
--- a/crates/cherrystream-core/src/ledger.rs
+++ b/crates/cherrystream-core/src/ledger.rs
@@ -1,7 +1,7 @@
-//! The ledger of unrepeatable requests: who may send which attempt of a key.
+//! Ledger of unrepeatable requests. It grants each attempt of an idempotency key to one outbound.
 //!
 //! The ledger is part of the replicated state, so its decisions depend only on the commands and
-//! their order. A key is held in a few dozen bytes; names are shared.
+//! their order. Keys are stored as hashes and names are shared to save memory.
 
 use cherrystream_schema::messages;
 use messages::{ClaimReply, ClaimRequest, Holder, ReleaseRequest};
@@ -11,7 +11,7 @@
 use std::hash::Hash;
 use std::sync::Arc;
 
-/// Hash of a service's name and a key.
+/// Hash of a service name and an idempotency key.
 type KeyHash = u128;
 
 /// Latest attempt of a key.
@@ -41,17 +41,17 @@
     }
 }
 
-/// The ledger.
+/// Latest attempt of each idempotency key.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(from = "Saved", into = "Saved")]
 pub struct Ledger {
     attempts: HashMap<KeyHash, Attempt>,
-    /// Claims in the order made, to drop the oldest first.
+    /// Claims in the order in which they were granted, for expiry.
     order: VecDeque<(u64, KeyHash)>,
     names: BTreeSet<Arc<str>>,
 }
 
-/// The ledger as a snapshot holds it, in the order of claims.
+/// Serialized form of a [`Ledger`] in snapshots, in the order of claims.
 #[derive(Serialize, Deserialize)]
 struct Saved {
     attempts: Vec<(String, Attempt)>,
@@ -82,11 +82,11 @@
 }
 
 impl Ledger {
-    /// Decides on a claim and records it when granted.
+    /// Decides on a claim and records it if granted.
     pub fn claim(&mut self, index: u64, at_ms: u64, req: &ClaimRequest) -> ClaimReply {
         let key = hash(&req.service, &req.key);
         if let Some(held) = self.attempts.get(&key) {
-            // A resent claim gets the answer of the first one.
+            // A claim that was sent again gets the same reply.
             if held.claim == req.claim {
                 return ClaimReply::Granted { index: held.index };
             }
@@ -114,7 +114,7 @@
         ClaimReply::Granted { index }
     }
 
-    /// Frees a key whose attempt was proved not run.
+    /// Releases a key whose attempt was proved not run.
     pub fn release(&mut self, req: &ReleaseRequest) {
         let key = hash(&req.service, &req.key);
         if let Some(held) = self.attempts.get_mut(&key)
@@ -124,14 +124,14 @@
         }
     }
 
-    /// Drops claims made before a point in Unix time.
+    /// Discards claims granted before a Unix time in milliseconds.
     pub fn expire(&mut self, before_ms: u64) {
         while let Some((at_ms, key)) = self.order.front().copied() {
             if at_ms >= before_ms {
                 break;
             }
             self.order.pop_front();
-            // A later attempt of the key stands further back in the order.
+            // A later attempt of the key has its own, later entry in the order.
             if self.attempts.get(&key).is_some_and(|a| a.at_ms == at_ms) {
                 self.attempts.remove(&key);
             }
@@ -163,8 +163,8 @@
     }
 }
 
-/// Returns whether a new attempt may follow the one held: only with proof that that one was not
-/// run and never will be.
+/// Returns whether a new attempt may replace the held one, which requires proof that the held one
+/// did not run and never will.
 fn may_follow(held: &Attempt, req: &ClaimRequest) -> bool {
     let fenced = req.fenced.as_ref().is_some_and(|f| f.claim == held.claim);
     let proved = held.released || fenced;
@@ -188,11 +188,11 @@
     hasher.finish128().as_u128()
 }
 
-/// Length of a UUID written with its hyphens.
+/// Length of a UUID in characters, with hyphens.
 const UUID_LEN: usize = 36;
 
-/// Returns the Unix time in milliseconds inside a UUIDv7 key, or `None` for any other key. Only the
-/// form with hyphens counts: 32 random hexadecimal digits look like a UUIDv7 now and then.
+/// Returns the Unix time in milliseconds of a UUIDv7 key, or `None` for any other key. Only the
+/// form with hyphens is accepted, because 32 random hexadecimal digits can look like a UUIDv7.
 pub fn key_time_ms(key: &str) -> Option<u64> {
     if key.len() != UUID_LEN {
         return None;
--- a/crates/cherrystream-core/src/lib.rs
+++ b/crates/cherrystream-core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions and types of cherrystream.
+//! Decision logic and types of cherrystream.
 //!
-//! Everything here is a plain state machine: events and the time go in, actions come out. There
-//! are no sockets, clocks, files or tasks, and random numbers come from a seed, so that whole
-//! sessions can be written down as golden files.
+//! Every component is a deterministic state machine: events and the current time go in, actions
+//! come out. There are no sockets, clocks, files or tasks, and random numbers come from a seed, so
+//! that tests can compare whole sessions with golden files.
 
 #![forbid(unsafe_code)]
 
--- a/crates/cherrystream-core/src/log_budget.rs
+++ b/crates/cherrystream-core/src/log_budget.rs
@@ -1,62 +1,67 @@
-//! Bounds the lines that are logged about requests: failures first, successes by sample.
+//! Rate limits for log lines about requests, separate for failures and successes.
 
 use crate::units::Timestamp;
 
-/// Lines a second about requests that failed.
+/// Log lines per second about failed requests.
 const FAILURES_PER_SECOND: f64 = 40.0;
-/// Lines a second about requests that were answered.
+/// Log lines per second about answered requests.
 const ANSWERS_PER_SECOND: f64 = 2.0;
-/// Seconds for which unused lines may be saved up.
-const SAVED_SECONDS: f64 = 2.0;
+/// Capacity of a bucket, in seconds of its rate.
+const BURST_SECONDS: f64 = 2.0;
 
-/// A rate that may be saved up for a short time.
+/// Token bucket.
 #[derive(Debug)]
-struct Rate {
+struct TokenBucket {
     per_second: f64,
-    saved: f64,
-    at: Timestamp,
+    tokens: f64,
+    refilled: Timestamp,
 }
 
-impl Rate {
-    fn new(per_second: f64) -> Rate {
-        Rate { per_second, saved: per_second * SAVED_SECONDS, at: Timestamp::default() }
+impl TokenBucket {
+    fn new(per_second: f64) -> TokenBucket {
+        TokenBucket {
+            per_second,
+            tokens: per_second * BURST_SECONDS,
+            refilled: Timestamp::default(),
+        }
     }
 
     fn try_take(&mut self, now: Timestamp) -> bool {
-        let earned = now.since(self.at).as_secs_f64() * self.per_second;
-        self.at = now;
-        self.saved = (self.saved + earned).min(self.per_second * SAVED_SECONDS);
-        let can = self.saved >= 1.0;
+        let earned = now.since(self.refilled).as_secs_f64() * self.per_second;
+        self.refilled = now;
+        self.tokens = (self.tokens + earned).min(self.per_second * BURST_SECONDS);
+        let can = self.tokens >= 1.0;
         if can {
-            self.saved -= 1.0;
+            self.tokens -= 1.0;
         }
         can
     }
 }
 
-/// Decides which lines are written.
+/// Decides which log lines about requests are written.
 #[derive(Debug)]
 pub struct LogBudget {
-    failures: Rate,
-    answers: Rate,
+    failures: TokenBucket,
+    answers: TokenBucket,
     dropped: u64,
 }
 
 impl Default for LogBudget {
     fn default() -> Self {
         LogBudget {
-            failures: Rate::new(FAILURES_PER_SECOND),
-            answers: Rate::new(ANSWERS_PER_SECOND),
+            failures: TokenBucket::new(FAILURES_PER_SECOND),
+            answers: TokenBucket::new(ANSWERS_PER_SECOND),
             dropped: 0,
         }
     }
 }
 
 impl LogBudget {
-    /// Returns whether a line is written, with the number of failures left out since the last one.
+    /// Returns the number of lines about failures dropped since the last line, or `None` if this
+    /// line is dropped too.
     pub fn take(&mut self, now: Timestamp, failed: bool) -> Option<u64> {
-        let rate = if failed { &mut self.failures } else { &mut self.answers };
-        if rate.try_take(now) {
+        let bucket = if failed { &mut self.failures } else { &mut self.answers };
+        if bucket.try_take(now) {
             return Some(std::mem::take(&mut self.dropped));
         }
         self.dropped += u64::from(failed);
--- a/crates/cherrystream-core/src/reasons.rs
+++ b/crates/cherrystream-core/src/reasons.rs
@@ -1,13 +1,13 @@
-//! Reasons for refusals, unknown outcomes and retries, as callers and metrics see them.
+//! Outcomes of requests and reasons for refusals and failures, as reported to callers and metrics.
 
 use std::fmt;
 
-/// What is known of a request when its answer is given.
+/// Whether a request ran, as far as the daemon can determine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
     /// The backend server answered.
     Answered,
-    /// No byte of the request reached a backend server and none will.
+    /// The request did not run on any backend server and will not.
     NotRun,
     /// The request may have run.
     Unknown,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Reads the value of the `Cherrystream-Outcome` header.
+    /// Parses the value of the `Cherrystream-Outcome` header.
     pub fn read(text: &str) -> Option<Outcome> {
         [Outcome::Answered, Outcome::NotRun, Outcome::Unknown]
             .into_iter()
@@ -48,17 +48,17 @@
                 match self { $(Reason::$name => $text),+ }
             }
 
-            /// Returns what the reason says of the request.
+            /// Returns the outcome that the reason implies.
             pub const fn outcome(self) -> Outcome {
                 match self { $(Reason::$name => Outcome::$outcome),+ }
             }
 
-            /// Returns the HTTP status that goes with the reason.
+            /// Returns the HTTP status of the response.
             pub const fn status(self) -> u16 {
                 match self { $(Reason::$name => $status),+ }
             }
 
-            /// Returns whether another backend server may accept what this one refused.
+            /// Returns whether another backend server may accept the request.
             pub const fn try_elsewhere(self) -> bool {
                 match self { $(Reason::$name => $elsewhere),+ }
             }
@@ -67,57 +67,59 @@
 }
 
 reasons! {
-    /// The request bears no key of a workspace, or one that no workspace has.
+    /// The request carries no API key, or one that belongs to no workspace.
     UnknownKey = "unknown-key", NotRun, 401, false;
-    /// The workspace has sent as many requests as its quota allows.
+    /// The workspace has used up its quota.
     OverQuota = "over-quota", NotRun, 429, false;
-    /// No service has the name asked for.
+    /// The requested service does not exist.
     NoSuchService = "no-such-service", NotRun, 404, false;
-    /// No route takes the request.
+    /// No route matches the request.
     NoRoute = "no-route", NotRun, 404, false;
-    /// This daemon does not know any route yet.
+    /// This daemon has not received a configuration yet.
     NoConfiguration = "no-configuration", NotRun, 503, false;
-    /// The request cannot be understood.
+    /// The request is malformed.
     BadRequest = "bad-request", NotRun, 400, false;
     /// A request that may not be repeated came without `Idempotency-Key`.
     KeyMissing = "key-missing", NotRun, 400, false;
-    /// The key was made before the window for which keys are kept.
+    /// The key is older than the window for which keys are kept.
     KeyTooOld = "key-too-old", NotRun, 400, false;
-    /// The key came with another body before.
+    /// The key was used before with another request.
     KeyReused = "key-reused", NotRun, 422, false;
-    /// The body of a request that may not be repeated is too large to be held.
+    /// The body of a request that may not be repeated is too large to be buffered.
     BodyTooLarge = "body-too-large", NotRun, 413, false;
     /// An earlier request with this key is still running.
     StillRunning = "still-running", Unknown, 409, false;
     /// An earlier request with this key ran; its answer is no longer held.
     RanBefore = "ran-before", Unknown, 409, false;
-    /// It cannot be told whether an earlier request with this key ran.
+    /// It is unknown whether an earlier request with this key ran.
     EarlierUnknown = "unknown", Unknown, 409, false;
-    /// The service has no backend server that takes work.
+    /// The service has no backend server that accepts work.
     NoBackendServer = "no-backend-server", NotRun, 503, false;
-    /// No backend server is in a region in which the request may be served.
+    /// The service has no backend server in a region where the request may be served.
     RegionNotAllowed = "region-not-allowed", NotRun, 503, false;
-    /// The request ended the backend servers that ran it, and is let through only from time to time.
+    /// The request is suspected of crashing backend servers and is admitted only for trials.
     HeldBack = "held-back", NotRun, 503, false;
-    /// Backend servers ended while the request was at work: it runs alone, and another one of its kind does so now.
+    /// The request may have crashed backend servers and must run in isolation, but another such
+    /// request is running.
     RunsAlone = "runs-alone", NotRun, 503, false;
-    /// All slots are taken and the queue is full.
+    /// All slots are in use and the queue is full.
     QueueFull = "queue-full", NotRun, 503, true;
-    /// The wait for a slot would outlast the deadline.
+    /// The wait for a slot would exceed the deadline.
     QueueTooLong = "queue-too-long", NotRun, 503, true;
-    /// The backend server is slow or nearly full at this moment, and others were not asked yet.
+    /// The backend server is slow or nearly full, and others have not been tried yet.
     BusyNow = "busy-now", NotRun, 503, true;
-    /// The backend server is cold, and takes no more for now.
+    /// The backend server is cold and its rate limit is reached.
     ServerCold = "server-cold", NotRun, 503, true;
-    /// Requests of more weight took the place in the queue.
+    /// Requests of higher weight displaced it from the queue.
     ShedByWeight = "shed-by-weight", NotRun, 503, true;
-    /// Requests of workspaces that have had less took the place in the queue.
+    /// Requests of workspaces that have used less displaced it from the queue.
     ShareUsed = "share-used", NotRun, 503, true;
-    /// The version of the backend server is under trial, and control or its own answers do not vouch for it now.
+    /// The backend server runs a canary version that is currently not confirmed by control or by
+    /// its own answers.
     VersionInDoubt = "version-in-doubt", NotRun, 503, true;
     /// The version of the backend server was rolled back.
     VersionHeldBack = "version-held-back", NotRun, 503, true;
-    /// The backend server is leaving.
+    /// The backend server is draining.
     Draining = "draining", NotRun, 503, true;
     /// The host is leaving.
     HostLeaving = "host-leaving", NotRun, 503, true;
@@ -125,23 +127,23 @@
     BackendServerDown = "backend-server-down", NotRun, 503, true;
     /// The backend server is not on this host.
     NotHere = "not-here", NotRun, 503, true;
-    /// The backend server said that it did not run the request.
+    /// The backend server answered that it did not run the request.
     BackendServerRefused = "backend-server-refused", NotRun, 503, true;
-    /// Another instance has taken the address of the backend server.
+    /// Another instance uses the address of the backend server.
     OtherInstance = "other-instance", NotRun, 503, true;
-    /// No backend server had room in the time that a request may wait for one.
+    /// No backend server had a free slot within the time that a request may wait.
     WaitTooLong = "wait-too-long", NotRun, 503, false;
     /// The inbound was restarted since the attempt was recorded.
     WrongIncarnation = "wrong-incarnation", NotRun, 503, true;
-    /// The attempt was forbidden before it arrived.
+    /// The attempt was fenced before it arrived.
     Fenced = "fenced", NotRun, 503, true;
     /// The same attempt arrived a second time.
     AttemptRepeated = "attempt-repeated", Unknown, 409, false;
-    /// The daemon of the chosen host cannot be reached.
+    /// The daemon of the chosen host is unreachable.
     PeerUnreachable = "peer-unreachable", NotRun, 503, true;
     /// The ledger has no quorum.
     LedgerUnavailable = "ledger-unavailable", NotRun, 503, false;
-    /// The ledger holds as many keys as it may.
+    /// The ledger holds the largest allowed number of keys.
     LedgerFull = "ledger-full", NotRun, 503, false;
     /// The deadline passed before the request was sent to a backend server.
     DeadlineBeforeStart = "deadline-before-start", NotRun, 503, false;
@@ -151,20 +153,21 @@
     BackendServerBroke = "backend-server-broke", Unknown, 502, false;
     /// The connection to the other daemon broke after the request was sent.
     PeerBroke = "peer-broke", Unknown, 502, false;
-    /// The process of this host ended before the backend server had answered.
+    /// The daemon of this host ended before the backend server answered.
     HostEnded = "host-ended", Unknown, 502, false;
     /// The answer carries the identifier of another call.
     WrongCall = "wrong-call", Unknown, 502, false;
 }
 
 impl Reason {
-    /// Returns whether the request reached a backend server, which the retry budget counts.
+    /// Returns whether the request may have reached a backend server, so that a retry
+    /// counts towards the budget.
     pub const fn reached_server(self) -> bool {
         matches!(self.outcome(), Outcome::Unknown)
             || matches!(self, Reason::BackendServerRefused | Reason::OtherInstance)
     }
 
-    /// Reads the value of the `Cherrystream-Reason` header.
+    /// Parses the value of the `Cherrystream-Reason` header.
     pub fn read(text: &str) -> Option<Reason> {
         Reason::ALL.iter().copied().find(|r| r.as_str() == text)
     }
--- a/crates/cherrystream-core/src/replica_choice.rs
+++ b/crates/cherrystream-core/src/replica_choice.rs
@@ -1,31 +1,32 @@
-//! Which control replica a daemon keeps to: one of its own failure domain wherever there is one.
+//! Choice of the control replica that a daemon connects to.
 //!
-//! Bytes between failure domains are dear, and each change goes to each daemon. At 300 daemons those that kept to a
-//! replica of another failure domain made more than half of what crossed on a quiet day.
+//! A replica of the daemon's failure domain is preferred: every change is sent to every daemon, and
+//! traffic between failure domains is expensive.
 
 use crate::units::Timestamp;
 use cherrystream_schema::messages::ReplicaAddress;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Shortest time for which a replica that was lost is left alone while there are others: a restart.
-const LEFT_ALONE: Duration = Duration::from_millis(500);
-/// Time for which it is left alone for each unit of time that the failed call took: a daemon is without control at most a
-/// sixth of the time on account of one replica that stays silent.
-const LEFT_ALONE_FOR_TRY: u32 = 5;
+/// Shortest backoff after a failed call to a replica, about the time of a restart.
+const MIN_BACKOFF: Duration = Duration::from_millis(500);
+/// Backoff as a multiple of the duration of the failed call. A daemon spends at most a sixth of its
+/// time on calls to one unresponsive replica.
+const BACKOFF_PER_CALL: u32 = 5;
 
-/// The control replicas that a daemon knows, and the order in which it tries them.
+/// Control replicas known to a daemon, and the order in which it tries them.
 #[derive(Debug)]
 pub struct ReplicaChoice {
     failure_domain: String,
     replicas: Vec<ReplicaAddress>,
-    /// Replicas that were lost, with the time until which they are left alone.
-    lost: BTreeMap<String, Timestamp>,
+    /// Unreachable replicas, with the end of their backoff.
+    unreachable: BTreeMap<String, Timestamp>,
     turn: usize,
 }
 
 impl ReplicaChoice {
-    /// Creates the choice of a daemon that knows addresses only. Daemons spread over the replicas by `turn`.
+    /// Creates a choice among addresses of replicas in unknown failure domains. `turn` selects the
+    /// first one, which distributes daemons over the replicas.
     pub fn new(failure_domain: &str, addresses: Vec<String>, turn: u64) -> ReplicaChoice {
         let unknown = |address| ReplicaAddress { address, failure_domain: None };
         let replicas: Vec<_> = addresses.into_iter().map(unknown).collect();
@@ -33,22 +34,23 @@
         ReplicaChoice {
             failure_domain: failure_domain.into(),
             replicas,
-            lost: BTreeMap::new(),
+            unreachable: BTreeMap::new(),
             turn,
         }
     }
 
-    /// Returns the replica to try now: one nearby, else any in turn; those lost lately come last.
+    /// Returns the replica to try next: one in this failure domain, else any in turn. Replicas in
+    /// backoff come last.
     pub fn next(&self, now: Timestamp) -> Option<&str> {
-        let sound = |replica: &&ReplicaAddress| !self.was_lost_lately(now, &replica.address);
-        let near = self.replicas.iter().filter(|replica| self.is_near(replica)).filter(sound);
-        let sound = self.replicas.iter().filter(sound);
+        let available = |replica: &&ReplicaAddress| !self.is_in_backoff(now, &replica.address);
+        let near = self.replicas.iter().filter(|replica| self.is_near(replica)).filter(available);
+        let available = self.replicas.iter().filter(available);
         let in_turn = |replicas: Vec<&ReplicaAddress>| {
             let count = replicas.len().max(1);
             replicas.get(self.turn % count).map(|replica| self.position(&replica.address))
         };
         let position = in_turn(near.collect())
-            .or_else(|| in_turn(sound.collect()))
+            .or_else(|| in_turn(available.collect()))
             .or_else(|| in_turn(self.replicas.iter().collect()))?;
         self.replicas.get(position?).map(|replica| replica.address.as_str())
     }
@@ -57,7 +59,8 @@
         self.replicas.iter().position(|replica| replica.address == address)
     }
 
-    /// Takes the replicas that one of them tells of, in place of those known before.
+    /// Replaces the replicas by the list that one of them returned, if it is not empty. A failure
+    /// domain that the list lacks is kept.
     pub fn learn(&mut self, replicas: &[ReplicaAddress]) {
         if replicas.is_empty() {
             return;
@@ -67,16 +70,16 @@
             let known = known.iter().find(|replica| replica.address == address);
             known.and_then(|replica| replica.failure_domain.clone())
         };
-        let merge = |told: &ReplicaAddress| {
-            let failure_domain = told.failure_domain.clone().or_else(|| domain_of(&told.address));
-            ReplicaAddress { address: told.address.clone(), failure_domain }
+        let merge = |new: &ReplicaAddress| {
+            let failure_domain = new.failure_domain.clone().or_else(|| domain_of(&new.address));
+            ReplicaAddress { address: new.address.clone(), failure_domain }
         };
         self.replicas = replicas.iter().map(merge).collect();
         let replicas = &self.replicas;
-        self.lost.retain(|address, _| replicas.iter().any(|r| r.address == *address));
+        self.unreachable.retain(|address, _| replicas.iter().any(|r| r.address == *address));
     }
 
-    /// Adds addresses that the settings name: the replicas known so far may all be gone.
+    /// Adds addresses from the settings, in case all known replicas are gone.
     pub fn add(&mut self, addresses: impl Iterator<Item = String>) {
         for address in addresses {
             if self.position(&address).is_none() {
@@ -85,40 +88,40 @@
         }
     }
 
-    /// Notes the failure domain that a replica tells of itself.
+    /// Records the failure domain that a replica reports for itself.
     pub fn on_domain(&mut self, address: &str, failure_domain: &str) {
         if let Some(replica) = self.replicas.iter_mut().find(|r| r.address == address) {
             replica.failure_domain = Some(failure_domain.into());
         }
     }
 
-    /// Notes that a replica does not answer, or cannot; the call that showed it took `took`.
+    /// Records a failed call to a replica, which took `took`.
     pub fn on_lost(&mut self, now: Timestamp, address: &str, took: Duration) {
-        let left_alone = LEFT_ALONE.max(took * LEFT_ALONE_FOR_TRY);
-        self.lost.insert(address.into(), now + left_alone);
+        let backoff = MIN_BACKOFF.max(took * BACKOFF_PER_CALL);
+        self.unreachable.insert(address.into(), now + backoff);
         self.turn = self.turn.wrapping_add(1);
     }
 
-    /// Notes that a replica serves this daemon.
+    /// Records that a replica serves this daemon.
     pub fn on_served(&mut self, address: &str) {
-        self.lost.remove(address);
+        self.unreachable.remove(address);
     }
 
-    /// Returns whether another replica is to be tried in place of one that serves: the one does not lie nearby, and
-    /// the other does.
+    /// Returns whether a replica of this failure domain should be tried in place of the one at
+    /// `address`, which is in another.
     pub fn is_nearer_known(&self, now: Timestamp, address: &str) -> bool {
         let serves_near = |r: &ReplicaAddress| r.address == address && self.is_near(r);
-        let is_open =
-            |r: &ReplicaAddress| self.is_near(r) && !self.was_lost_lately(now, &r.address);
-        !self.replicas.iter().any(serves_near) && self.replicas.iter().any(is_open)
+        let is_available =
+            |r: &ReplicaAddress| self.is_near(r) && !self.is_in_backoff(now, &r.address);
+        !self.replicas.iter().any(serves_near) && self.replicas.iter().any(is_available)
     }
 
-    /// Returns whether a replica is known to lie in this failure domain.
+    /// Returns whether a replica is known to be in this failure domain.
     pub fn is_known_near(&self, address: &str) -> bool {
         self.replicas.iter().any(|r| r.address == address && self.is_near(r))
     }
 
-    /// Returns how many replicas are known.
+    /// Returns the number of known replicas.
     pub fn len(&self) -> usize {
         self.replicas.len()
     }
@@ -128,7 +131,7 @@
         self.replicas.is_empty()
     }
 
-    /// Returns the checksum of the replicas that are known.
+    /// Returns the checksum of the known replicas.
     pub fn checksum(&self) -> u32 {
         checksum(&self.replicas)
     }
@@ -137,12 +140,12 @@
         replica.failure_domain.as_deref() == Some(self.failure_domain.as_str())
     }
 
-    fn was_lost_lately(&self, now: Timestamp, address: &str) -> bool {
-        self.lost.get(address).is_some_and(|until| now < *until)
+    fn is_in_backoff(&self, now: Timestamp, address: &str) -> bool {
+        self.unreachable.get(address).is_some_and(|until| now < *until)
     }
 }
 
-/// Returns the checksum of replicas: a daemon that knows of them need not be told again.
+/// Returns the checksum of a list of replicas, with which a daemon shows that it has the list.
 pub fn checksum(replicas: &[ReplicaAddress]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     for ReplicaAddress { address, failure_domain } in replicas {
--- a/crates/cherrystream-core/src/reservations.rs
+++ b/crates/cherrystream-core/src/reservations.rs
@@ -1,64 +1,64 @@
-//! Slots that were granted ahead of the requests that will use them.
+//! Slots that are reserved for requests before they arrive.
 //!
-//! A request with a long body asks for a slot first, so that its body travels only to the backend
-//! server that takes it. A slot that nobody comes for is free again after a short time.
+//! A request with a long body reserves a slot first, so that its body is sent only to the backend
+//! server that accepts it. An unused reservation expires after a short time.
 
 use crate::units::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time for which a slot is kept for the request that asked for it: several round trips.
+/// Validity of a reservation, a few round trips.
 pub const KEPT_FOR: Duration = Duration::from_millis(250);
 
-/// Names a reserved slot. It is a random number, so that a late request finds no other's slot.
+/// Random identifier of a reservation, so that a late request cannot take the slot of another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Reservation(pub u64);
 
-/// A slot with the time until which it is kept.
+/// A reserved slot with the time at which the reservation expires.
 #[derive(Debug)]
-struct Kept<T> {
+struct Reserved<T> {
     slot: T,
-    until: Timestamp,
+    expires: Timestamp,
 }
 
-/// The reserved slots of one inbound.
+/// Reserved slots of one inbound.
 #[derive(Debug)]
 pub struct Reservations<T> {
-    kept: BTreeMap<Reservation, Kept<T>>,
+    reserved: BTreeMap<Reservation, Reserved<T>>,
 }
 
 impl<T> Default for Reservations<T> {
     fn default() -> Self {
-        Reservations { kept: BTreeMap::new() }
+        Reservations { reserved: BTreeMap::new() }
     }
 }
 
 impl<T> Reservations<T> {
-    /// Keeps a slot for a request that is on its way.
+    /// Reserves a slot for a request that will arrive.
     pub fn keep(&mut self, now: Timestamp, name: Reservation, slot: T) {
-        self.kept.insert(name, Kept { slot, until: now + KEPT_FOR });
+        self.reserved.insert(name, Reserved { slot, expires: now + KEPT_FOR });
     }
 
-    /// Hands a slot to its request, unless it came too late. A slot is handed out once.
+    /// Removes and returns the slot of a request, unless its reservation has expired.
     pub fn take(&mut self, now: Timestamp, name: Reservation) -> Option<T> {
-        let kept = self.kept.remove(&name)?;
-        (now < kept.until).then_some(kept.slot)
+        let reserved = self.reserved.remove(&name)?;
+        (now < reserved.expires).then_some(reserved.slot)
     }
 
-    /// Takes out the slots that nobody came for.
+    /// Removes and returns the slots whose reservations have expired.
     pub fn expire(&mut self, now: Timestamp) -> Vec<T> {
-        let late = self.kept.extract_if(.., |_, kept| kept.until <= now);
-        late.map(|(_, kept)| kept.slot).collect()
+        let expired = self.reserved.extract_if(.., |_, reserved| reserved.expires <= now);
+        expired.map(|(_, reserved)| reserved.slot).collect()
     }
 
-    /// Returns the number of slots that are kept.
+    /// Returns the number of reserved slots.
     pub fn len(&self) -> usize {
-        self.kept.len()
+        self.reserved.len()
     }
 
-    /// Returns whether no slot is kept.
+    /// Returns whether no slot is reserved.
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty()
+        self.reserved.is_empty()
     }
 }
--- a/crates/cherrystream-core/src/retry.rs
+++ b/crates/cherrystream-core/src/retry.rs
@@ -1,112 +1,113 @@
-//! Retries: a budget for each service at each outbound, and the allowance that travels with a call.
+//! Retries: a budget for each service at each outbound, and an allowance carried by each call.
 
 use crate::reasons::{Outcome, Reason};
 use rand::Rng;
 use std::time::Duration;
 
-/// Retries that may be saved up while few are needed.
-const SAVED_AT_MOST: f64 = 20.0;
-/// Shortest time after which callers are asked to return.
-const RETURN_AFTER_AT_LEAST: Duration = Duration::from_millis(50);
-/// Attempts of one call at one outbound at most, the first included.
-pub const ATTEMPTS_AT_MOST: u32 = 4;
-/// Retries that a call may cause on its whole way when it enters without an allowance.
+/// Largest number of unused retries that a budget accumulates.
+const MAX_BALANCE: f64 = 20.0;
+/// Shortest delay after which callers are asked to retry.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// Largest number of attempts of one call at one outbound, including the first.
+pub const MAX_ATTEMPTS: u32 = 4;
+/// Retries that a call may cause in total, over all layers, if it carries no allowance.
 pub const ALLOWANCE: u32 = 1;
 
-/// Budget of retries, as a share of calls.
+/// Token bucket that limits retries to a share of calls.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     share: f64,
-    saved: f64,
-    saved_at_most: f64,
+    balance: f64,
+    max_balance: f64,
 }
 
 impl RetryBudget {
-    /// Creates a full budget of `share` retries for each call.
+    /// Creates a full budget that gains `share` retries with each call.
     pub fn new(share: f64) -> RetryBudget {
-        let saved = SAVED_AT_MOST.min(share * 1_000.0);
-        RetryBudget { share, saved, saved_at_most: SAVED_AT_MOST }
+        let balance = MAX_BALANCE.min(share * 1_000.0);
+        RetryBudget { share, balance, max_balance: MAX_BALANCE }
     }
 
-    /// Notes a call.
+    /// Adds the share of one call.
     pub fn on_call(&mut self) {
-        self.saved = (self.saved + self.share).min(self.saved_at_most);
+        self.balance = (self.balance + self.share).min(self.max_balance);
     }
 
-    /// Bounds what may be saved up: the part of this outbound in what all of them may save.
-    pub fn bound(&mut self, saved_at_most: f64) {
-        self.saved_at_most = saved_at_most.min(SAVED_AT_MOST);
-        self.saved = self.saved.min(self.saved_at_most);
+    /// Sets the largest balance, which is the part of this outbound in that of all outbounds.
+    pub fn bound(&mut self, max_balance: f64) {
+        self.max_balance = max_balance.min(MAX_BALANCE);
+        self.balance = self.balance.min(self.max_balance);
     }
 
-    /// Takes one retry out of the budget, if it holds one.
+    /// Spends one retry, if the balance allows it.
     pub fn try_spend(&mut self) -> bool {
-        let can = self.saved >= 1.0;
+        let can = self.balance >= 1.0;
         if can {
-            self.saved -= 1.0;
+            self.balance -= 1.0;
         }
         can
     }
 }
 
-/// Retries that a call may still cause below this outbound.
+/// Retries that a call may still cause at this outbound and the layers below it.
 ///
-/// A layer that retries takes the retry out of what it passes on, so that a chain of eight
-/// layers does not multiply its load at each of them.
+/// A layer that retries subtracts the retry from the allowance that it forwards, so that retries
+/// of several layers do not multiply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowance(u32);
 
 impl Allowance {
-    /// Reads what came with a call; a call without one enters the system here.
+    /// Creates an allowance from the value that a call carries, if any.
     pub fn new(carried: Option<u32>) -> Allowance {
         Allowance(carried.unwrap_or(ALLOWANCE).min(ALLOWANCE))
     }
 
-    /// Takes one retry, if any is left.
+    /// Spends one retry, if any is left.
     pub fn take(&mut self) -> bool {
         let can = self.0 > 0;
         self.0 -= u32::from(can);
         can
     }
 
-    /// Returns what is passed on.
+    /// Returns the number of retries left, which is forwarded with the call.
     pub const fn left(self) -> u32 {
         self.0
     }
 }
 
-/// Returns when a caller should come back: at least `base`, spread over as much again, so that
-/// callers refused together do not return together.
+/// Returns the delay after which a caller should retry: `base` plus a jitter of up to `base`, so
+/// that callers refused at the same time do not retry at the same time.
 pub fn return_after(base: Duration, rng: &mut impl Rng) -> Duration {
-    let base = base.max(RETURN_AFTER_AT_LEAST);
+    let base = base.max(MIN_RETRY_AFTER);
     base + base.mul_f64(rng.random::<f64>())
 }
 
-/// What is known of a failed attempt when the next one is weighed.
+/// State of a call after a failed attempt, from which a retry is decided.
 #[derive(Clone, Copy, Debug)]
 pub struct Failed {
-    /// Why it failed.
+    /// Reason for the failure.
     pub reason: Reason,
-    /// Attempts made so far.
+    /// Number of attempts made so far.
     pub attempts: u32,
     /// Whether the request may run more than once.
     pub repeatable: bool,
     /// Whether the body can be sent again.
     pub replayable: bool,
-    /// Backend servers that the request has reached.
+    /// Number of backend servers that the request has reached.
     pub arrivals: u32,
-    /// Backend servers that it may reach at most.
+    /// Largest number of backend servers that the request may reach.
     pub arrivals_at_most: u32,
 }
 
-/// Decides whether another attempt is made, and takes it out of what allows it.
+/// Returns whether to make another attempt, and spends it from the budget and the allowance.
 ///
-/// A request that was proved not run may go elsewhere whatever its kind. One that may have run
-/// goes again only when it is repeatable and its allowance is not used up. The budget bounds what
-/// reaches backend servers more than once, so a refusal by an inbound costs none of it.
+/// A request that was proved not run may be retried on another backend server whatever its kind.
+/// One that may have run is retried only if it is repeatable and its allowance is not used up. The
+/// budget limits requests that reach backend servers more than once, so retries after refusals by
+/// an inbound do not count.
 pub fn decide(failed: Failed, budget: &mut RetryBudget, allowance: &mut Allowance) -> bool {
-    let spent = failed.arrivals >= failed.arrivals_at_most;
-    if !failed.replayable || failed.attempts >= ATTEMPTS_AT_MOST || spent {
+    let exhausted = failed.arrivals >= failed.arrivals_at_most;
+    if !failed.replayable || failed.attempts >= MAX_ATTEMPTS || exhausted {
         return false;
     }
     match failed.reason.outcome() {
@@ -121,8 +122,8 @@
     }
 }
 
-/// Returns whether, of two attempts that both failed, the second one's failure tells more of the request
-/// than the first one's: it was not run only if neither attempt was.
+/// Returns whether the second of two failed attempts determines the outcome of the request. A
+/// request was not run only if neither attempt was.
 pub fn second_tells(first: Reason, second: Reason) -> bool {
     first.outcome() == Outcome::NotRun && second.outcome() != Outcome::NotRun
 }
--- a/crates/cherrystream-core/src/text_patch.rs
+++ b/crates/cherrystream-core/src/text_patch.rs
@@ -1,18 +1,18 @@
-//! What leads from one text to another, where the other is mostly made of parts of the one.
+//! Patches between texts that share most of their segments.
 
 use cherrystream_schema::messages::{TextPatch, TextStep};
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
 
-/// Texts are compared in segments that end with this sign: with it ends an entry of a JSON table.
-const END: char = '}';
+/// Last character of a segment. In JSON it ends an entry of the route table.
+const SEGMENT_END: char = '}';
 
-/// Returns what leads from one text to another.
+/// Returns the patch from one text to another.
 pub fn between(old: &str, new: &str) -> TextPatch {
     let offsets = first_offsets(old);
     let mut steps = Steps::default();
-    for segment in new.split_inclusive(END) {
-        let next = steps.copied_to.filter(|at| old[*at..].starts_with(segment));
+    for segment in new.split_inclusive(SEGMENT_END) {
+        let next = steps.copy_end.filter(|at| old[*at..].starts_with(segment));
         match next.or_else(|| offsets.get(segment).copied()) {
             Some(at) => steps.copy(at, segment.len()),
             None => steps.add(segment),
@@ -21,10 +21,11 @@
     TextPatch { steps: steps.all, checksum: crc32fast::hash(new.as_bytes()) }
 }
 
+/// Returns the offset of the first occurrence of each segment.
 fn first_offsets(text: &str) -> HashMap<&str, usize> {
     let mut offsets = HashMap::new();
     let mut at = 0;
-    for segment in text.split_inclusive(END) {
+    for segment in text.split_inclusive(SEGMENT_END) {
         if let Entry::Vacant(entry) = offsets.entry(segment) {
             entry.insert(at);
         }
@@ -36,19 +37,17 @@
 #[derive(Default)]
 struct Steps {
     all: Vec<TextStep>,
-    /// Where the last step ends in the old text, if it copies.
-    copied_to: Option<usize>,
+    /// End offset in the old text of the last step, if that is a copy.
+    copy_end: Option<usize>,
 }
 
 impl Steps {
     fn copy(&mut self, at: usize, len: usize) {
         match self.all.last_mut() {
-            Some(TextStep::Copy { bytes, .. }) if self.copied_to == Some(at) => {
-                *bytes += len as u64
-            }
+            Some(TextStep::Copy { bytes, .. }) if self.copy_end == Some(at) => *bytes += len as u64,
             _ => self.all.push(TextStep::Copy { offset: at as u64, bytes: len as u64 }),
         }
-        self.copied_to = Some(at + len);
+        self.copy_end = Some(at + len);
     }
 
     fn add(&mut self, segment: &str) {
@@ -56,11 +55,11 @@
             Some(TextStep::Add { text }) => text.push_str(segment),
             _ => self.all.push(TextStep::Add { text: segment.into() }),
         }
-        self.copied_to = None;
+        self.copy_end = None;
     }
 }
 
-/// Returns the text that a patch leads to; `None` when it was made for another one.
+/// Applies a patch. Returns `None` if it was made for another text.
 pub fn apply(old: &str, patch: &TextPatch) -> Option<String> {
     let mut new = String::new();
     for step in &patch.steps {
--- a/crates/cherrystream-core/src/transfer/content.rs
+++ b/crates/cherrystream-core/src/transfer/content.rs
@@ -1,25 +1,25 @@
-//! What messages of the log hold: which entries, and how messages are cut and joined.
+//! Contents of log messages, and how messages are split and joined.
 
 use cherrystream_schema::messages::{RaftBody, RaftMessage};
 
-/// Entries from `first` to `last`.
+/// Range of log indexes, from `first` to `last` inclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Span {
     pub(super) first: u64,
     pub(super) last: u64,
 }
 
-/// What a long message holds.
+/// Content of a long message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Content {
-    /// Entries, after one of this term.
+    /// Entries, with the term of the entry before them.
     Entries { span: Span, prev_term: u64 },
-    /// A snapshot up to an index, with its size.
+    /// A snapshot up to a log index, with its size in bytes.
     Snapshot { index: u64, bytes: usize },
 }
 
 impl Content {
-    /// Returns what a message holds; `None` for a short one.
+    /// Returns the content of a message, or `None` if it holds neither entries nor a snapshot.
     pub(super) fn of(msg: &RaftMessage) -> Option<Content> {
         match &msg.body {
             RaftBody::Append { prev_index, prev_term, entries, .. } if !entries.is_empty() => {
@@ -38,7 +38,7 @@
         matches!(self, Content::Snapshot { .. })
     }
 
-    /// Returns the entries that need not be sent beside it.
+    /// Returns the range of entries that the content makes unnecessary to send.
     pub(super) fn span(self) -> Span {
         match self {
             Content::Entries { span, .. } => span,
@@ -47,17 +47,17 @@
     }
 }
 
-/// Returns the span from the first entry of both to the last.
+/// Returns the smallest span that contains both.
 pub(super) fn cover(a: Span, b: Span) -> Span {
     Span { first: a.first.min(b.first), last: a.last.max(b.last) }
 }
 
-/// Returns whether a message only tells that its leader is there.
+/// Returns whether a message is a heartbeat of the leader, without entries.
 pub(super) fn is_heartbeat(msg: &RaftMessage) -> bool {
     matches!(&msg.body, RaftBody::Append { entries, .. } if entries.is_empty())
 }
 
-/// Returns a message with those of its entries that lie in a span.
+/// Returns a copy of a message with only the entries in a span.
 pub(super) fn part(msg: &RaftMessage, span: Span) -> RaftMessage {
     let RaftMessage { from, to, disk, term, body } = msg;
     let body = match body {
@@ -74,7 +74,7 @@
     RaftMessage { from: *from, to: *to, disk: disk.clone(), term: *term, body }
 }
 
-/// Joins a message to the one before it; returns it when it does not follow that one.
+/// Appends a message to the previous one. Returns it unchanged if its entries do not follow.
 pub(super) fn join(last: &mut RaftMessage, msg: RaftMessage) -> Option<RaftMessage> {
     let spans = (Content::of(last), Content::of(&msg));
     let (Some(a), Some(b)) = spans else { return Some(msg) };
--- a/crates/cherrystream-core/src/transfer/mod.rs
+++ b/crates/cherrystream-core/src/transfer/mod.rs
@@ -1,9 +1,10 @@
-//! Long messages between control replicas.
+//! Transfer of long messages between control replicas.
 //!
-//! A message whose size grows with the state travels in pieces, behind short messages. What counts
-//! is the time without progress, never the time in all: a transfer goes on where it stood after a
-//! connection broke. An [`Outbox`] sorts what waits for one replica, [`Sending`] and [`Receiving`]
-//! are the two ends of a transfer, and [`Pace`] keeps pieces short enough for heartbeats beside them.
+//! A message whose size grows with the state is sent in pieces, with lower priority than short
+//! messages. A transfer resumes after a connection breaks and fails only after a time without
+//! progress. [`Outbox`] queues the messages to one replica, [`Sending`] and [`Receiving`] are the
+//! two ends of a transfer, and [`Pace`] limits the size of pieces so that they do not delay
+//! heartbeats.
 
 mod content;
 mod outbox;
@@ -20,8 +21,8 @@
 
 use std::time::Duration;
 
-/// Time without progress after which a transfer is given up. An unreachable replica is another's to
-/// replace after 10 s at most; a link that comes back within three times that goes on where it stood.
+/// Time without progress after which the sender aborts a transfer. It is longer than the time until
+/// an unreachable replica is replaced.
 pub const GIVE_UP: Duration = Duration::from_secs(30);
-/// Time for which a receiver keeps a transfer that makes no progress: its sender gives up before.
-pub const KEPT: Duration = Duration::from_secs(60);
+/// Time without progress after which the receiver discards a transfer, later than the sender.
+pub const PARTIAL_TTL: Duration = Duration::from_secs(60);
--- a/crates/cherrystream-core/src/transfer/outbox.rs
+++ b/crates/cherrystream-core/src/transfer/outbox.rs
@@ -1,4 +1,4 @@
-//! What waits to be sent to one replica: short messages, and long ones that travel in pieces.
+//! Send queue to one replica: short messages, and long ones that are sent in pieces.
 
 use super::content::{self, Content, Span};
 use crate::raft;
@@ -7,50 +7,49 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Bytes of entries that may be among the short messages, by estimate: 190 ms at 340 KB/s. What goes
-/// beyond that goes in pieces.
-const SHORT_BYTES: usize = 64 * 1024;
-/// As `SHORT_BYTES`, after calls have failed: 1.4 s at 3 KB/s, within the time of one call.
-const LEAST_SHORT_BYTES: usize = 4 * 1024;
-/// Short messages that may wait; the log sends anew what is dropped.
-const SHORT_MESSAGES: usize = 4_096;
-/// Messages in one call at most.
-const IN_CALL: usize = 64;
-/// Bytes of entries that may wait for their turn in pieces, by estimate; one message always may.
-const LANE_BYTES: usize = 4 << 20;
-/// Bytes up to which waiting messages that follow each other are joined.
-const JOINED_BYTES: usize = 256 * 1024;
-/// Time for which entries that arrived count as on their way: the replica writes them to its disk
-/// before it acknowledges them. The log sends anew what is not acknowledged after as much.
-const ENTRIES_SETTLE: Duration = Duration::from_millis(250);
-/// As `ENTRIES_SETTLE`, for a snapshot, which the replica reads and writes as a whole.
-const SNAPSHOT_SETTLES: Duration = Duration::from_secs(2);
-
-/// The transfer on its way.
+/// Largest estimated size in bytes of entries among the short messages. More are sent in pieces.
+const MAX_SHORT_BYTES: usize = 64 * 1024;
+/// Smallest value to which failed calls reduce the limit for entries among the short messages.
+const MIN_SHORT_BYTES: usize = 4 * 1024;
+/// Largest number of queued short messages. Raft sends dropped ones again.
+const MAX_SHORT_MESSAGES: usize = 4_096;
+/// Largest number of short messages in one call.
+const MAX_CALL_MESSAGES: usize = 64;
+/// Largest estimated size in bytes of queued long messages. A single message may exceed it.
+const MAX_LANE_BYTES: usize = 4 << 20;
+/// Largest estimated size in bytes of queued messages joined to one.
+const MAX_JOINED_BYTES: usize = 256 * 1024;
+/// Time for which delivered entries are not sent again: the replica writes them to its disk before
+/// it acknowledges them.
+const ENTRIES_ACK_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time for which a delivered snapshot is not sent again: the replica reads and writes all of it.
+const SNAPSHOT_ACK_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// The transfer in flight.
 #[derive(Debug)]
-struct OnWay {
+struct InFlight {
     content: Content,
     share_left: f64,
     abandoned: bool,
 }
 
-/// What waits for one replica.
+/// Send queue to one replica.
 #[derive(Debug)]
 pub struct Outbox {
     short: VecDeque<RaftMessage>,
-    /// Bytes of entries that wait among the short messages or are in the call on its way.
+    /// Bytes of entries among the short messages, queued or in the call in flight.
     short_bytes: usize,
-    /// Bytes of entries in the call on its way.
-    in_call: usize,
-    /// Bytes of entries that may be among the short messages now.
+    /// Bytes of entries in the call in flight.
+    call_bytes: usize,
+    /// Current limit for `short_bytes`.
     short_limit: usize,
-    /// Long messages that wait. Their entries follow each other without a gap.
+    /// Queued long messages. Their entries are consecutive.
     long: VecDeque<RaftMessage>,
     long_bytes: usize,
-    on_way: Option<OnWay>,
-    /// What arrived last, and when.
-    arrived: Option<(Content, Timestamp)>,
-    /// Term of the latest message that only a leader sends.
+    in_flight: Option<InFlight>,
+    /// Content that was delivered last, and when.
+    delivered: Option<(Content, Timestamp)>,
+    /// Term of the latest message of a type that only a leader sends.
     term: u64,
     dropped: u64,
 }
@@ -60,12 +59,12 @@
         Outbox {
             short: VecDeque::new(),
             short_bytes: 0,
-            in_call: 0,
-            short_limit: SHORT_BYTES,
+            call_bytes: 0,
+            short_limit: MAX_SHORT_BYTES,
             long: VecDeque::new(),
             long_bytes: 0,
-            on_way: None,
-            arrived: None,
+            in_flight: None,
+            delivered: None,
             term: 0,
             dropped: 0,
         }
@@ -73,7 +72,7 @@
 }
 
 impl Outbox {
-    /// Adds a message. One that finds no room, or whose entries are on their way, is dropped.
+    /// Queues a message. Drops it if its queue is full or its entries are already being sent.
     pub fn push(&mut self, now: Timestamp, msg: RaftMessage) {
         match &msg.body {
             RaftBody::Append { entries, .. } if entries.is_empty() => self.push_heartbeat(msg),
@@ -83,32 +82,33 @@
         }
     }
 
-    /// Takes the short messages of one call, which is on its way until [`Outbox::finish_short`].
+    /// Removes the short messages for one call, which is in flight until [`Outbox::finish_short`].
     pub fn take_short(&mut self) -> Vec<RaftMessage> {
-        let count = self.short.len().min(IN_CALL);
-        let taken: Vec<RaftMessage> = self.short.drain(..count).collect();
-        self.in_call = taken.iter().map(raft::message_bytes).sum();
-        taken
+        let count = self.short.len().min(MAX_CALL_MESSAGES);
+        let messages: Vec<RaftMessage> = self.short.drain(..count).collect();
+        self.call_bytes = messages.iter().map(raft::message_bytes).sum();
+        messages
     }
 
-    /// Notes that the call of short messages has ended. The link may be too slow for one that failed.
-    pub fn finish_short(&mut self, arrived: bool) {
-        self.short_bytes -= std::mem::take(&mut self.in_call);
-        self.short_limit = match arrived {
-            true => (self.short_limit * 2).min(SHORT_BYTES),
-            false => (self.short_limit / 2).max(LEAST_SHORT_BYTES),
+    /// Records the end of the call of short messages. A failure lowers the limit for entries,
+    /// because the link may be too slow for the call.
+    pub fn finish_short(&mut self, delivered: bool) {
+        self.short_bytes -= std::mem::take(&mut self.call_bytes);
+        self.short_limit = match delivered {
+            true => (self.short_limit * 2).min(MAX_SHORT_BYTES),
+            false => (self.short_limit / 2).max(MIN_SHORT_BYTES),
         };
     }
 
-    /// Drops the short messages: they are stale by the time that the replica is back.
+    /// Drops the short messages, which are stale when an unreachable replica returns.
     pub fn drop_short(&mut self) {
         self.dropped += self.short.len() as u64;
         self.short.clear();
-        self.short_bytes = self.in_call;
+        self.short_bytes = self.call_bytes;
     }
 
-    /// Takes the next long message, which is on its way from now on. It builds upon entries among the
-    /// short messages, so it waits until these are through.
+    /// Removes the next long message, which is then in flight. Returns `None` while entries among
+    /// the short messages are not delivered, because the long message follows them.
     pub fn take_long(&mut self) -> Option<RaftMessage> {
         if self.short_bytes > 0 {
             return None;
@@ -116,66 +116,66 @@
         let msg = self.long.pop_front()?;
         self.long_bytes -= raft::message_bytes(&msg);
         let content = Content::of(&msg)?;
-        self.on_way = Some(OnWay { content, share_left: 1.0, abandoned: false });
+        self.in_flight = Some(InFlight { content, share_left: 1.0, abandoned: false });
         Some(msg)
     }
 
-    /// Notes which share of the transfer on its way is still to be sent.
+    /// Records the share of the transfer in flight that is not sent yet.
     pub fn note_left(&mut self, share: f64) {
-        if let Some(on_way) = &mut self.on_way {
-            on_way.share_left = share;
+        if let Some(in_flight) = &mut self.in_flight {
+            in_flight.share_left = share;
         }
     }
 
-    /// Returns whether the transfer on its way is of no use any more.
+    /// Returns whether the transfer in flight has become obsolete.
     pub fn is_abandoned(&self) -> bool {
-        self.on_way.as_ref().is_some_and(|on_way| on_way.abandoned)
+        self.in_flight.as_ref().is_some_and(|in_flight| in_flight.abandoned)
     }
 
-    /// Notes that the transfer on its way has ended.
-    pub fn finish_long(&mut self, now: Timestamp, arrived: bool) {
-        let on_way = self.on_way.take().filter(|on_way| arrived && !on_way.abandoned);
-        self.arrived = on_way.map(|on_way| (on_way.content, now));
+    /// Records the end of the transfer in flight.
+    pub fn finish_long(&mut self, now: Timestamp, delivered: bool) {
+        let in_flight = self.in_flight.take().filter(|t| delivered && !t.abandoned);
+        self.delivered = in_flight.map(|in_flight| (in_flight.content, now));
     }
 
-    /// Returns the index of a snapshot that waits, is on its way, or has just arrived.
+    /// Returns the log index of a snapshot that is queued, in flight, or was delivered recently.
     pub fn snapshot_index(&self, now: Timestamp) -> Option<u64> {
-        let on_way = self.on_way.as_ref().filter(|on_way| !on_way.abandoned).map(|o| o.content);
-        let waiting = self.long.iter().filter_map(Content::of);
-        let mut all = on_way.into_iter().chain(waiting).chain(self.arrived(now));
+        let in_flight = self.in_flight.as_ref().filter(|t| !t.abandoned).map(|t| t.content);
+        let queued = self.long.iter().filter_map(Content::of);
+        let mut all = in_flight.into_iter().chain(queued).chain(self.delivered(now));
         all.find(|content| content.is_snapshot()).map(|content| content.span().last)
     }
 
-    /// Drops the long messages: another replica leads.
+    /// Drops the long messages and abandons the transfer in flight, after a change of the leader.
     pub fn drop_long(&mut self) {
-        self.drop_waiting(|_| true);
-        if let Some(on_way) = &mut self.on_way {
-            on_way.abandoned = true;
+        self.drop_queued(|_| true);
+        if let Some(in_flight) = &mut self.in_flight {
+            in_flight.abandoned = true;
         }
     }
 
-    /// Returns the term in which this replica last led.
+    /// Returns the latest term in which this replica sent messages as leader.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// Returns how many messages were dropped since this was last asked.
+    /// Returns the number of messages dropped since the last call.
     pub fn take_dropped(&mut self) -> u64 {
         std::mem::take(&mut self.dropped)
     }
 
-    /// Returns whether short messages wait.
+    /// Returns whether short messages are queued.
     pub fn has_short(&self) -> bool {
         !self.short.is_empty()
     }
 
-    /// Returns whether long messages wait.
+    /// Returns whether long messages are queued.
     pub fn has_long(&self) -> bool {
         !self.long.is_empty()
     }
 
     fn push_short(&mut self, msg: RaftMessage, bytes: usize) {
-        if self.short.len() >= SHORT_MESSAGES {
+        if self.short.len() >= MAX_SHORT_MESSAGES {
             self.dropped += 1;
             return;
         }
@@ -183,23 +183,23 @@
         self.short.push_back(msg);
     }
 
-    /// Adds a heartbeat of the log. Where logs are known to match, it names the last entry that the
-    /// replica holds, so transfers up to there are of no use any more.
+    /// Queues a heartbeat. Its previous index is the last entry known to match on the replica, so
+    /// transfers of entries up to there are obsolete.
     fn push_heartbeat(&mut self, msg: RaftMessage) {
         self.enter_term(msg.term);
         if let RaftBody::Append { prev_index, .. } = &msg.body {
             let held = *prev_index;
             let is_held = |content: Content| !content.is_snapshot() && content.span().last <= held;
-            self.drop_waiting(is_held);
+            self.drop_queued(is_held);
             self.abandon(is_held);
         }
         self.push_latest_heartbeat(msg);
     }
 
-    /// Adds a heartbeat in place of one that waits: the newer one tells all that the older one does.
+    /// Queues a heartbeat in place of a queued one, which it supersedes.
     fn push_latest_heartbeat(&mut self, msg: RaftMessage) {
-        if let Some(waiting) = self.short.iter().position(content::is_heartbeat) {
-            self.short.remove(waiting);
+        if let Some(queued) = self.short.iter().position(content::is_heartbeat) {
+            self.short.remove(queued);
         }
         self.push_short(msg, 0);
     }
@@ -223,13 +223,13 @@
         self.push_around(msg, span, covered);
     }
 
-    /// Adds the entries of a message that are not on their way yet.
+    /// Queues the entries of a message that are not being sent yet.
     fn push_around(&mut self, msg: RaftMessage, span: Span, covered: Span) {
         if span.first < covered.first {
             let before =
                 content::part(&msg, Span { last: span.last.min(covered.first - 1), ..span });
             if !self.fits_short(&before) {
-                // The replica has lost what the transfers on their way build upon.
+                // The replica lost entries that the queued transfers follow.
                 self.drop_long();
                 self.push_lane(msg);
                 return;
@@ -238,7 +238,7 @@
             self.push_short(before, bytes);
         }
         if span.first > covered.last + 1 {
-            // What lies between was dropped; the log sends it anew, with these entries.
+            // The entries between were dropped. Raft sends them again together with these.
             self.dropped += 1;
         } else if span.last > covered.last {
             let first = span.first.max(covered.last + 1);
@@ -248,13 +248,13 @@
 
     fn push_lane(&mut self, msg: RaftMessage) {
         let bytes = raft::message_bytes(&msg);
-        if !self.long.is_empty() && self.long_bytes + bytes > LANE_BYTES {
+        if !self.long.is_empty() && self.long_bytes + bytes > MAX_LANE_BYTES {
             self.dropped += 1;
             return;
         }
         self.long_bytes += bytes;
         match self.long.back_mut() {
-            Some(last) if raft::message_bytes(last) + bytes <= JOINED_BYTES => {
+            Some(last) if raft::message_bytes(last) + bytes <= MAX_JOINED_BYTES => {
                 if let Some(msg) = content::join(last, msg) {
                     self.long.push_back(msg);
                 }
@@ -265,66 +265,68 @@
 
     fn push_snapshot(&mut self, mut msg: RaftMessage) {
         self.enter_term(msg.term);
-        // The transfer may outlast the term, in whose rounds of heartbeats its number means nothing.
+        // The transfer may outlast the term, and round numbers are valid only within a term.
         if let RaftBody::Install { round, .. } = &mut msg.body {
             *round = 0;
         }
         let bytes = raft::message_bytes(&msg);
-        let left = self.snapshot_on_way();
+        let left = self.snapshot_bytes_left();
         if left.is_some_and(|left| bytes as f64 >= left) {
             self.dropped += 1;
             return;
         }
-        // Entries on their way to a replica that needs a snapshot do not fit there.
+        // A replica that needs a snapshot would reject the queued entries.
         self.drop_long();
         self.long_bytes += bytes;
         self.long.push_back(msg);
     }
 
-    /// Notes the term of a message that only a leader sends. Entries of an earlier term are of no use
-    /// any more; a snapshot holds only what is committed, and is sent on in the new term.
+    /// Records the term of a leader's message. Entries sent in an earlier term are obsolete. A
+    /// snapshot holds only committed state and continues in the new term.
     fn enter_term(&mut self, term: u64) {
         if term <= self.term {
             return;
         }
         self.term = term;
-        self.drop_waiting(|content| !content.is_snapshot());
+        self.drop_queued(|content| !content.is_snapshot());
         self.abandon(|content| !content.is_snapshot());
-        self.arrived = None;
+        self.delivered = None;
     }
 
-    fn abandon(&mut self, is_useless: impl Fn(Content) -> bool) {
-        if let Some(on_way) = self.on_way.as_mut().filter(|on_way| is_useless(on_way.content)) {
-            on_way.abandoned = true;
+    fn abandon(&mut self, is_obsolete: impl Fn(Content) -> bool) {
+        if let Some(in_flight) = self.in_flight.as_mut().filter(|t| is_obsolete(t.content)) {
+            in_flight.abandoned = true;
         }
     }
 
-    fn drop_waiting(&mut self, is_useless: impl Fn(Content) -> bool) {
-        self.long.retain(|msg| !Content::of(msg).is_some_and(&is_useless));
+    fn drop_queued(&mut self, is_obsolete: impl Fn(Content) -> bool) {
+        self.long.retain(|msg| !Content::of(msg).is_some_and(&is_obsolete));
         self.long_bytes = self.long.iter().map(raft::message_bytes).sum();
     }
 
-    /// Returns the bytes of a snapshot that are still to be sent, if one is on its way.
-    fn snapshot_on_way(&self) -> Option<f64> {
-        let on_way = self.on_way.as_ref().filter(|on_way| !on_way.abandoned)?;
-        match on_way.content {
-            Content::Snapshot { bytes, .. } => Some(bytes as f64 * on_way.share_left),
+    /// Returns the number of unsent bytes of the snapshot in flight, if any.
+    fn snapshot_bytes_left(&self) -> Option<f64> {
+        let in_flight = self.in_flight.as_ref().filter(|t| !t.abandoned)?;
+        match in_flight.content {
+            Content::Snapshot { bytes, .. } => Some(bytes as f64 * in_flight.share_left),
             Content::Entries { .. } => None,
         }
     }
 
-    fn arrived(&self, now: Timestamp) -> Option<Content> {
-        let (content, at) = self.arrived?;
-        let settles = if content.is_snapshot() { SNAPSHOT_SETTLES } else { ENTRIES_SETTLE };
-        (now.since(at) < settles).then_some(content)
+    /// Returns the content delivered last, while its acknowledgement may still be pending.
+    fn delivered(&self, now: Timestamp) -> Option<Content> {
+        let (content, at) = self.delivered?;
+        let timeout =
+            if content.is_snapshot() { SNAPSHOT_ACK_TIMEOUT } else { ENTRIES_ACK_TIMEOUT };
+        (now.since(at) < timeout).then_some(content)
     }
 
-    /// Returns the heartbeat in a message with entries. It names the entry that those on their way follow,
-    /// for one that is still on its way there would be rejected.
+    /// Returns a heartbeat for a message with entries. Its previous entry is the one before the
+    /// entries in flight, because the replica would reject an entry that it has not received.
     fn heartbeat_of(&self, msg: &RaftMessage) -> RaftMessage {
         let mut heartbeat = content::part(msg, Span { first: 1, last: 0 });
-        let on_way = self.on_way.as_ref().filter(|on_way| !on_way.abandoned).map(|o| o.content);
-        let head = on_way.or_else(|| self.long.front().and_then(Content::of));
+        let in_flight = self.in_flight.as_ref().filter(|t| !t.abandoned).map(|t| t.content);
+        let head = in_flight.or_else(|| self.long.front().and_then(Content::of));
         if let RaftBody::Append { prev_index, prev_term, .. } = &mut heartbeat.body
             && let Some(Content::Entries { span, prev_term: before }) = head
             && span.first <= *prev_index
@@ -335,25 +337,25 @@
     }
 
     fn lane_is_idle(&self) -> bool {
-        self.long.is_empty() && self.on_way.as_ref().is_none_or(|on_way| on_way.abandoned)
+        self.long.is_empty() && self.in_flight.as_ref().is_none_or(|t| t.abandoned)
     }
 
     fn fits_short(&self, msg: &RaftMessage) -> bool {
         self.short_bytes + raft::message_bytes(msg) <= self.short_limit
     }
 
-    /// Returns the entries that are on their way in pieces, or have just arrived and overlap with
-    /// others.
+    /// Returns the entries that are queued or in flight as long messages, together with those
+    /// delivered recently if they adjoin, or if there are only those and they overlap `others`.
     fn covered(&self, now: Timestamp, others: Span) -> Option<Span> {
-        let on_way = self.on_way.iter().filter(|on_way| !on_way.abandoned).map(|o| o.content);
-        let waiting = self.long.iter().filter_map(Content::of);
-        let lane = on_way.chain(waiting).map(Content::span).reduce(content::cover);
-        let arrived = self.arrived(now).map(Content::span);
-        match (arrived, lane) {
-            (Some(arrived), Some(lane)) if arrived.last + 1 >= lane.first => {
-                Some(content::cover(arrived, lane))
+        let in_flight = self.in_flight.iter().filter(|t| !t.abandoned).map(|t| t.content);
+        let queued = self.long.iter().filter_map(Content::of);
+        let lane = in_flight.chain(queued).map(Content::span).reduce(content::cover);
+        let delivered = self.delivered(now).map(Content::span);
+        match (delivered, lane) {
+            (Some(delivered), Some(lane)) if delivered.last + 1 >= lane.first => {
+                Some(content::cover(delivered, lane))
             }
-            (Some(arrived), None) => Some(arrived).filter(|a| others.first <= a.last),
+            (Some(delivered), None) => Some(delivered).filter(|d| others.first <= d.last),
             (_, lane) => lane,
         }
     }
--- a/crates/cherrystream-core/src/transfer/pace.rs
+++ b/crates/cherrystream-core/src/transfer/pace.rs
@@ -1,19 +1,19 @@
-//! How long the pieces of transfers to one replica are.
+//! Adaptive size of the pieces of transfers.
 
 use std::time::Duration;
 
-/// Bytes of the first piece: one that takes 50 ms at 340 KB/s.
-const FIRST: usize = 16 * 1024;
-/// Bytes of the shortest piece. It gets through at 3 KB/s within the time of one call.
-const LEAST: usize = 4 * 1024;
-/// Bytes of the longest piece. Beyond it, a round trip costs less than the work on the bytes.
-const MOST: usize = 256 * 1024;
-/// A piece that took less may be longer next time.
-const QUICK: Duration = Duration::from_millis(60);
-/// A piece that took more is too long: a heartbeat, due every 100 ms, may wait behind it.
-const SLOW: Duration = Duration::from_millis(200);
-
-/// Length of the pieces, by the time that the last ones took.
+/// Size of the first piece in bytes.
+const INITIAL_BYTES: usize = 16 * 1024;
+/// Smallest size of a piece in bytes.
+const MIN_BYTES: usize = 4 * 1024;
+/// Largest size of a piece in bytes.
+const MAX_BYTES: usize = 256 * 1024;
+/// A piece that took less time doubles the size.
+const FAST_REPLY: Duration = Duration::from_millis(60);
+/// A piece that took more time halves the size, because it delays heartbeats.
+const SLOW_REPLY: Duration = Duration::from_millis(200);
+
+/// Size of pieces, adapted to the time that recent ones took.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pace {
     bytes: usize,
@@ -21,31 +21,31 @@
 
 impl Default for Pace {
     fn default() -> Self {
-        Pace { bytes: FIRST }
+        Pace { bytes: INITIAL_BYTES }
     }
 }
 
 impl Pace {
-    /// Returns the bytes of the next piece.
+    /// Returns the size of the next piece in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Notes how long a piece took until it was acknowledged.
+    /// Records the time until a piece was acknowledged.
     pub fn on_reply(&mut self, took: Duration) {
-        if took < QUICK {
-            self.bytes = (self.bytes * 2).min(MOST);
-        } else if took > SLOW {
-            self.shorten();
+        if took < FAST_REPLY {
+            self.bytes = (self.bytes * 2).min(MAX_BYTES);
+        } else if took > SLOW_REPLY {
+            self.reduce();
         }
     }
 
-    /// Notes that a piece was not acknowledged.
+    /// Records that a piece was not acknowledged.
     pub fn on_failure(&mut self) {
-        self.shorten();
+        self.reduce();
     }
 
-    fn shorten(&mut self) {
-        self.bytes = (self.bytes / 2).max(LEAST);
+    fn reduce(&mut self) {
+        self.bytes = (self.bytes / 2).max(MIN_BYTES);
     }
 }
--- a/crates/cherrystream-core/src/transfer/packing.rs
+++ b/crates/cherrystream-core/src/transfer/packing.rs
@@ -1,4 +1,4 @@
-//! Messages as the bytes that travel.
+//! Serialization of messages for transfers.
 
 use cherrystream_schema::messages::RaftMessage;
 use flate2::Compression;
@@ -7,42 +7,42 @@
 use snafu::{ResultExt, Snafu};
 use std::io::{self, Read};
 
-/// Why the bytes of a transfer are no message.
+/// Error of reading a message from the bytes of a transfer.
 #[derive(Debug, Snafu)]
 pub enum Unreadable {
-    /// The bytes cannot be unpacked.
-    #[snafu(display("the bytes cannot be unpacked: {source}"))]
+    /// The bytes cannot be decompressed.
+    #[snafu(display("the bytes cannot be decompressed: {source}"))]
     Packing {
-        /// Where they are wrong.
+        /// Error of the decompression.
         source: io::Error,
     },
-    /// The text is no message.
-    #[snafu(display("the text is no message: {source}"))]
+    /// The text is not a message.
+    #[snafu(display("the text is not a message: {source}"))]
     Text {
-        /// Where it is wrong.
+        /// Error of the parser.
         source: serde_json::Error,
     },
 }
 
-/// Packs a message.
+/// Serializes and compresses a message.
 ///
 /// # Panics
 ///
-/// Never: a message always has a JSON form, and memory takes all that is written to it.
+/// Never: a message serializes without errors, and writing to memory does not fail.
 pub fn pack(msg: &RaftMessage) -> Vec<u8> {
     let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
-    serde_json::to_writer(&mut encoder, msg).expect("a message always has a JSON form");
-    encoder.finish().expect("memory can be written to")
+    serde_json::to_writer(&mut encoder, msg).expect("a message serializes to JSON");
+    encoder.finish().expect("writing to memory does not fail")
 }
 
-/// Unpacks a message that is at most `bytes_at_most` long.
+/// Decompresses and parses a message of at most `max_bytes` of text.
 ///
 /// # Errors
 ///
-/// Fails when the bytes are none that [`pack`] wrote, or the message is longer.
-pub fn unpack(content: &[u8], bytes_at_most: u64) -> Result<RaftMessage, Unreadable> {
+/// Fails if the bytes are not the output of [`pack`] or the text is longer.
+pub fn unpack(content: &[u8], max_bytes: u64) -> Result<RaftMessage, Unreadable> {
     let mut text = Vec::new();
-    let mut decoder = ZlibDecoder::new(content).take(bytes_at_most);
+    let mut decoder = ZlibDecoder::new(content).take(max_bytes);
     decoder.read_to_end(&mut text).context(PackingSnafu)?;
     serde_json::from_slice(&text).context(TextSnafu)
 }
--- a/crates/cherrystream-core/src/transfer/receiving.rs
+++ b/crates/cherrystream-core/src/transfer/receiving.rs
@@ -1,6 +1,6 @@
-//! The receiver's end of transfers.
+//! Receiving end of transfers.
 
-use super::KEPT;
+use super::PARTIAL_TTL;
 use crate::units::Timestamp;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
@@ -8,59 +8,59 @@
 use snafu::Snafu;
 use std::collections::BTreeMap;
 
-/// Why a piece is refused.
+/// Reason why a piece is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum PieceFault {
-    /// The transfer is longer than any message.
-    #[snafu(display("the transfer is too long"))]
+    /// The transfer exceeds the size limit.
+    #[snafu(display("the transfer exceeds the size limit of a message"))]
     TooLong,
-    /// The bytes cannot be read, or go beyond the end of the transfer.
-    #[snafu(display("the piece cannot be read"))]
+    /// The data cannot be decoded or exceeds the size of the transfer.
+    #[snafu(display("the piece cannot be decoded or exceeds the size of its transfer"))]
     Unreadable,
-    /// The whole does not match its checksum.
+    /// The complete data does not match its checksum.
     #[snafu(display("the transfer does not match its checksum"))]
     Checksum,
 }
 
-/// What a piece led to.
+/// Result of a valid piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Taken {
-    /// So many bytes of its transfer are held.
+    /// The transfer is not complete, or was handed out before. Holds the number of bytes received.
     Held(u64),
-    /// The transfer is whole. It counts as held from now on.
+    /// The transfer is complete. Its content is handed out once.
     Whole(Vec<u8>),
 }
 
-/// A transfer on its way here.
+/// A transfer that is being received.
 #[derive(Debug)]
 struct Partial {
     transfer: u64,
     total: u64,
     checksum: u32,
     bytes: Vec<u8>,
-    /// Whether the whole was handed out.
+    /// Whether the complete content was handed out.
     handed_out: bool,
     progressed: Timestamp,
 }
 
-/// Transfers on their way here, one from each sender at most.
+/// Transfers that are being received, at most one from each sender.
 #[derive(Debug)]
 pub struct Receiving {
-    bytes_at_most: u64,
+    max_bytes: u64,
     partials: BTreeMap<u64, Partial>,
 }
 
 impl Receiving {
-    /// Creates one that takes transfers of `bytes_at_most` at most.
-    pub fn new(bytes_at_most: u64) -> Receiving {
-        Receiving { bytes_at_most, partials: BTreeMap::new() }
+    /// Creates a receiver of transfers of up to `max_bytes`.
+    pub fn new(max_bytes: u64) -> Receiving {
+        Receiving { max_bytes, partials: BTreeMap::new() }
     }
 
-    /// Takes a piece. Memory grows with the bytes that came, not with those that were announced.
+    /// Handles a piece. Memory grows with the received bytes, not with the announced size.
     ///
     /// # Errors
     ///
-    /// Fails on a piece that makes no sense; its transfer is forgotten.
+    /// Fails if the piece is invalid, and discards its transfer.
     pub fn take(&mut self, now: Timestamp, piece: &Piece) -> Result<Taken, PieceFault> {
         let taken = self.try_take(now, piece);
         if taken.is_err() {
@@ -70,7 +70,7 @@
     }
 
     fn try_take(&mut self, now: Timestamp, piece: &Piece) -> Result<Taken, PieceFault> {
-        if piece.total > self.bytes_at_most {
+        if piece.total > self.max_bytes {
             return Err(PieceFault::TooLong);
         }
         let data = STANDARD_NO_PAD.decode(&piece.data).map_err(|_| PieceFault::Unreadable)?;
@@ -84,17 +84,17 @@
         partial.take(now, piece.offset, &data)
     }
 
-    /// Forgets the transfer of a sender, so that it begins anew.
+    /// Discards the transfer of a sender, which then starts again.
     pub fn forget(&mut self, from: u64) {
         self.partials.remove(&from);
     }
 
-    /// Forgets transfers that make no progress.
+    /// Discards transfers without progress.
     pub fn tidy(&mut self, now: Timestamp) {
-        self.partials.retain(|_, p| now.since(p.progressed) < KEPT);
+        self.partials.retain(|_, p| now.since(p.progressed) < PARTIAL_TTL);
     }
 
-    /// Returns the bytes held in memory.
+    /// Returns the allocated memory for content in bytes.
     pub fn bytes(&self) -> usize {
         self.partials.values().map(|p| p.bytes.capacity()).sum()
     }
@@ -121,7 +121,7 @@
             return Ok(Taken::Held(self.total));
         }
         let held = self.bytes.len() as u64;
-        // A piece that was sent twice, or one of a transfer that was forgotten here.
+        // The piece was sent twice, or the transfer was discarded here.
         if offset != held {
             return Ok(Taken::Held(held));
         }
--- a/crates/cherrystream-core/src/transfer/sending.rs
+++ b/crates/cherrystream-core/src/transfer/sending.rs
@@ -1,4 +1,4 @@
-//! The sender's end of a transfer.
+//! Sending end of a transfer.
 
 use super::GIVE_UP;
 use crate::units::Timestamp;
@@ -13,22 +13,22 @@
     transfer: u64,
     content: Vec<u8>,
     checksum: u32,
-    /// Bytes that the receiver has, by its last word.
+    /// Bytes that the receiver acknowledged last.
     held: usize,
-    /// Most bytes that it ever had.
-    most_held: usize,
-    /// When it last had more than ever before.
+    /// Largest value of `held` so far.
+    max_held: usize,
+    /// Time at which `max_held` last increased.
     progressed: Timestamp,
 }
 
 impl Sending {
-    /// Begins a transfer. Its identifier must be one that no other transfer of the sender has.
+    /// Starts a transfer. Its identifier must be unique among the transfers of the sender.
     pub fn new(from: u64, transfer: u64, content: Vec<u8>, now: Timestamp) -> Sending {
         let checksum = crc32fast::hash(&content);
-        Sending { from, transfer, content, checksum, held: 0, most_held: 0, progressed: now }
+        Sending { from, transfer, content, checksum, held: 0, max_held: 0, progressed: now }
     }
 
-    /// Returns the next piece, of `bytes` at most, to be sent in a term.
+    /// Returns the next piece, of at most `bytes`, for a term.
     pub fn piece(&self, bytes: usize, term: u64) -> Piece {
         let end = (self.held + bytes).min(self.content.len());
         Piece {
@@ -42,16 +42,16 @@
         }
     }
 
-    /// Notes how many bytes the receiver has. It may have lost what it had.
+    /// Records the number of bytes that the receiver holds. It may be less than before.
     pub fn on_reply(&mut self, now: Timestamp, held: u64) {
         self.held = usize::try_from(held).unwrap_or(0).min(self.content.len());
-        if self.held > self.most_held {
-            self.most_held = self.held;
+        if self.held > self.max_held {
+            self.max_held = self.held;
             self.progressed = now;
         }
     }
 
-    /// Returns whether the receiver has everything.
+    /// Returns whether the receiver holds the complete content.
     pub fn is_done(&self) -> bool {
         self.held == self.content.len()
     }
@@ -61,12 +61,12 @@
         now.since(self.progressed) >= GIVE_UP
     }
 
-    /// Returns the share that is still to be sent.
+    /// Returns the share of the content that is not acknowledged.
     pub fn share_left(&self) -> f64 {
         1.0 - self.held as f64 / self.content.len().max(1) as f64
     }
 
-    /// Returns the bytes in all.
+    /// Returns the size of the content in bytes.
     pub fn total(&self) -> usize {
         self.content.len()
     }
--- a/crates/cherrystream-core/src/units.rs
+++ b/crates/cherrystream-core/src/units.rs
@@ -1,4 +1,4 @@
-//! Units: points in time and revisions.
+//! Units: timestamps and revisions.
 
 use std::fmt;
 use std::ops::Add;
@@ -6,22 +6,22 @@
 
 pub use cherrystream_schema::messages::Revision;
 
-/// Microseconds since the process started, from a clock that never goes back.
+/// Microseconds since the start of the process, from a monotonic clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
-    /// Returns the point `millis` milliseconds after the start.
+    /// Creates the timestamp `millis` milliseconds after the start.
     pub const fn from_millis(millis: u64) -> Self {
         Timestamp(millis * 1_000)
     }
 
-    /// Returns the time since `earlier`, or zero if that lies ahead.
+    /// Returns the time since `earlier`, or zero if that is later.
     pub fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Returns the point `age` earlier, unless that lies before the start.
+    /// Returns the timestamp `age` earlier, or `None` if that is before the start.
     pub fn earlier(self, age: Duration) -> Option<Timestamp> {
         self.0.checked_sub(micros(age)).map(Timestamp)
     }
@@ -40,12 +40,12 @@
     }
 }
 
-/// Returns a duration in whole microseconds.
+/// Returns a duration in whole microseconds, saturating at `u64::MAX`.
 pub fn micros(d: Duration) -> u64 {
     u64::try_from(d.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Writes a revision as `term.index`.
+/// Formats a revision as `term.index`.
 pub struct Dotted(pub Revision);
 
 impl fmt::Display for Dotted {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Reads a revision written as `term.index`.
+/// Parses a revision of the form `term.index`.
 pub fn read_revision(text: &str) -> Option<Revision> {
     let (term, index) = text.split_once('.')?;
     Some(Revision { term: term.parse().ok()?, index: index.parse().ok()? })
--- a/crates/cherrystream-core/tests/distribution.rs
+++ b/crates/cherrystream-core/tests/distribution.rs
@@ -1,8 +1,8 @@
-//! How the shared state reaches daemons: encoded updates, downloads, and who fetches from whom.
+//! Distribution of the shared state: encoded updates, downloads and fetch scheduling.
 
 use arbtest::arbtest;
 use cherrystream_core::distribution::{
-    Asker, BYTES_AT_MOST, ChunkFault, Crossing, Download, Encoded, Gather, Library, Taken, Way,
+    Asker, ChunkFault, Crossing, Download, Encoded, Gather, Library, MAX_UPDATE_BYTES, Taken, Way,
 };
 use cherrystream_core::shared;
 use cherrystream_core::state::{ControlState, Step};
@@ -32,7 +32,7 @@
     Change::PutHost { record }
 }
 
-/// A state of so many hosts.
+/// Returns a state with a number of hosts.
 fn state(hosts: u64) -> ControlState {
     let mut state = ControlState::default();
     for index in 1..=hosts {
@@ -52,13 +52,13 @@
 }
 
 #[test]
-fn chunks_of_any_length_lead_to_the_update_whatever_comes_twice_or_late() {
+fn chunks_of_any_length_yield_the_update_despite_duplicates() {
     let encoded = whole(60);
     let update = encoded.decode().unwrap();
     arbtest(|u| {
         let mut download = Download::new(at(0), encoded.id(), WITHIN).unwrap();
         for turn in 0.. {
-            // Every other chunk is the next one, so that the end is reached whatever is drawn.
+            // Every second chunk is the next one, so that the download always completes.
             let offset = match turn % 2 == 0 && u.arbitrary()? {
                 true => u.int_in_range(0..=encoded.id().bytes - 1)?,
                 false => download.received(),
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn bytes_that_were_not_offered_are_refused() {
+fn data_that_does_not_match_the_offer_is_rejected() {
     let encoded = whole(30);
     let id = encoded.id();
     let mut data = encoded.chunk(0, usize::MAX).unwrap().to_vec();
@@ -89,7 +89,7 @@
     let mut download = Download::new(at(0), id, WITHIN).unwrap();
     data.push(0);
     assert!(matches!(download.take(at(1), 0, &data), Err(ChunkFault::TooLong)));
-    let too_long = StateId { bytes: BYTES_AT_MOST + 1, ..id };
+    let too_long = StateId { bytes: MAX_UPDATE_BYTES + 1, ..id };
     assert!(Download::new(at(0), too_long, WITHIN).is_none());
     let other = StateId { to: revision(999), ..id };
     let bytes = encoded.chunk(0, usize::MAX).unwrap().to_vec();
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn time_counts_only_while_nothing_comes() {
+fn a_download_stalls_only_without_progress() {
     let encoded = whole(60);
     let mut download = Download::new(at(0), encoded.id(), WITHIN).unwrap();
     for second in 1..=40 {
@@ -107,29 +107,25 @@
         assert!(!download.is_stalled(at(second * 1_000 + 900)));
     }
     assert!(download.is_stalled(at(50_000)));
-    assert_eq!(download.received(), 320, "what came is kept");
+    assert_eq!(download.received(), 320, "received bytes are kept");
 }
 
 #[test]
-fn a_download_leaves_room_for_requests_only_while_it_is_in_good_time() {
+fn a_download_pauses_only_while_it_can_complete_in_time() {
     let encoded = whole(200);
     let mut download = Download::new(at(0), encoded.id(), WITHIN).unwrap();
     let (took, half) = (Duration::from_millis(20), encoded.id().bytes as usize / 2);
     download.take(at(20), 0, encoded.chunk(0, half).unwrap()).unwrap();
     assert_eq!(download.rest(at(20), half, took), took);
     assert_eq!(download.rest(at(490), half, took), Duration::ZERO);
-    assert_eq!(
-        download.rest(at(20), half / 100, took),
-        Duration::ZERO,
-        "a thin link has none left"
-    );
+    assert_eq!(download.rest(at(20), half / 100, took), Duration::ZERO, "no pause on a slow link");
 }
 
 #[test]
-fn the_whole_state_goes_where_it_is_smaller() {
+fn the_whole_state_is_sent_if_it_is_smaller_than_the_changes() {
     let mut state = state(30);
     for index in 31..=400 {
-        // The same hosts again and again.
+        // Changes of the same hosts.
         let command = Command::Share { change: host(index % 30 + 1) };
         state.apply(&Entry { term: 1, index, command });
     }
@@ -143,7 +139,7 @@
     }
 }
 
-/// Applies an update to what a daemon holds that saw the first `held` entries.
+/// Applies an update to the state of a daemon that has applied the first `held` entries.
 fn apply(held: u64, state: &ControlState, update: Update) -> cherrystream_schema::messages::Shared {
     assert_eq!(update.revision, state.revision());
     if let Some(full) = update.full {
@@ -159,7 +155,7 @@
 }
 
 #[test]
-fn a_library_keeps_what_was_used_last() {
+fn the_cache_evicts_the_least_recently_used_update() {
     let (first, second, third) = (whole(40), whole(41), change(5, 42));
     let mut library = Library::new(first.id().bytes + second.id().bytes);
     library.add(first.clone());
@@ -167,13 +163,13 @@
     assert_eq!(library.furthest(Revision::default()).map(Encoded::id), Some(second.id()));
     assert!(library.get(&first.id()).is_some());
     library.add(third.clone());
-    assert!(!library.holds(&second.id()), "it was not used for longest");
+    assert!(!library.holds(&second.id()), "least recently used");
     assert_eq!(library.furthest(revision(5)).map(Encoded::id), Some(third.id()));
     assert!(library.furthest(revision(6)).is_none());
 }
 
 #[test]
-fn a_replica_that_passed_over_tables_offers_nothing_until_the_last_one_is_applied() {
+fn a_replica_that_skipped_tables_offers_nothing_until_it_has_applied_the_last() {
     let mut state = state(3);
     state.pass_over(7);
     let command = Command::Share { change: host(4) };
@@ -183,7 +179,7 @@
 }
 
 #[test]
-fn changes_that_hold_more_than_the_whole_state_are_not_kept() {
+fn changes_larger_than_the_whole_state_are_discarded() {
     let mut state = state(10);
     for index in 11..=5_000 {
         let command = Command::Share { change: host(index % 10) };
@@ -199,32 +195,40 @@
     Asker { host, failure_domain, near: failure_domain == "near" }
 }
 
-/// Lets hosts of a failure domain ask at a moment.
+/// Returns where hosts of a failure domain fetch an update, requested in order at one time.
 fn ways(crossing: &mut Crossing, now: u64, domain: &str, hosts: &[&str], id: StateId) -> Vec<Way> {
     let ask = |host: &&str| crossing.way(at(now), asker(host, domain), id, |_| true);
     hosts.iter().map(ask).collect()
 }
 
 #[test]
-fn few_daemons_of_a_far_failure_domain_fetch_from_afar() {
+fn few_daemons_of_a_remote_failure_domain_fetch_from_the_replica() {
     let (mut crossing, id) = (Crossing::default(), whole(30).id());
     let far = ways(&mut crossing, 0, "far", &["f1", "f2", "f3"], id);
     assert_eq!(far, [Way::Here, Way::Here, Way::Later]);
-    assert_eq!(ways(&mut crossing, 0, "farther", &["g1"], id), [Way::Here], "each has its own");
-    assert_eq!(ways(&mut crossing, 10, "far", &["f1"], id), [Way::Here], "it is fetching already");
+    assert_eq!(
+        ways(&mut crossing, 0, "farther", &["g1"], id),
+        [Way::Here],
+        "the limit is per failure domain"
+    );
+    assert_eq!(ways(&mut crossing, 10, "far", &["f1"], id), [Way::Here], "it is already fetching");
     let renamed = StateId { to: revision(31), ..id };
-    assert_eq!(ways(&mut crossing, 20, "far", &["f4"], renamed), [Way::Later], "by any name");
+    assert_eq!(
+        ways(&mut crossing, 20, "far", &["f4"], renamed),
+        [Way::Later],
+        "the limit covers all updates"
+    );
     crossing.on_chunk(at(30), asker("f1", "far"), id, 0);
     let rest = ways(&mut crossing, 40, "far", &["f3", "f5", "f6"], id);
     let peers = Way::Peers(vec!["f1".into()]);
-    assert_eq!(rest, [peers.clone(), peers.clone(), Way::Later], "two at a time from each");
+    assert_eq!(rest, [peers.clone(), peers.clone(), Way::Later], "two at a time from each peer");
     crossing.on_done(asker("f3", "far"));
     assert!(matches!(&ways(&mut crossing, 50, "far", &["f6"], id)[..], [Way::Peers(_)]));
     assert_eq!(ways(&mut crossing, 60, "near", &["n1"], id), [Way::Here]);
 }
 
 #[test]
-fn one_that_falls_silent_or_crawls_makes_room_for_another() {
+fn silent_and_slow_daemons_do_not_block_others() {
     let (mut crossing, id) = (Crossing::default(), whole(30).id());
     ways(&mut crossing, 0, "far", &["f1", "f2"], id);
     crossing.on_chunk(at(900), asker("f1", "far"), id, 100);
@@ -234,30 +238,30 @@
         crossing.on_chunk(at(step * 500), asker("f1", "far"), id, 100);
         crossing.on_chunk(at(step * 500), asker("f3", "far"), id, 100);
     }
-    assert_eq!(ways(&mut crossing, 4_100, "far", &["f4"], id), [Way::Here], "f1 crawls");
+    assert_eq!(ways(&mut crossing, 4_100, "far", &["f4"], id), [Way::Here], "f1 is slow");
 }
 
 #[test]
-fn a_peer_that_cannot_be_asked_is_not_named() {
+fn an_unreachable_peer_is_not_returned() {
     let (mut crossing, id) = (Crossing::default(), whole(30).id());
     crossing.way(at(0), asker("f1", "far"), id, |_| true);
     crossing.on_chunk(at(1), asker("f1", "far"), id, 0);
     assert_eq!(crossing.way(at(2), asker("f2", "far"), id, |_| false), Way::Here);
 }
 
-/// Load: a registration every 5 ms for 1.5 s.
+/// Guards against a message to every daemon for each of many registrations.
 #[test]
-fn changes_that_come_together_are_told_together() {
+fn changes_within_a_short_time_are_sent_in_batches() {
     let mut gather = Gather::default();
     let start = Timestamp::from_millis(10_000);
-    assert_eq!(gather.due(start), start, "after a quiet time at once");
-    let (mut told, mut due) = (0, None);
+    assert_eq!(gather.due(start), start, "at once after a quiet period");
+    let (mut batches, mut due) = (0, None);
     for ms in (0..1_500).step_by(5) {
         let now = start + Duration::from_millis(ms);
         if now >= *due.get_or_insert_with(|| gather.due(now)) {
             gather.on_told(now);
-            (told, due) = (told + 1, None);
+            (batches, due) = (batches + 1, None);
         }
     }
-    assert!(told <= 8, "daemons were told {told} times of 300 changes");
+    assert!(batches <= 8, "300 changes were sent in {batches} batches");
 }
--- a/crates/cherrystream-core/tests/routes.rs
+++ b/crates/cherrystream-core/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Route tables: what is refused, which route takes a request, and how tables travel.
+//! Route tables: validation, look-up of routes, patches and packing.
 
 use arbtest::arbtest;
 use cherrystream_core::routes::{self, RouteIndex};
@@ -66,16 +66,16 @@
 }
 
 #[test]
-fn invalid_tables_are_refused_with_the_remedy() {
+fn invalid_tables_are_rejected_with_a_remedy() {
     let faults = [
-        ("as it should be", fault(|_| {})),
+        ("valid", fault(|_| {})),
         ("no host", fault(|r| r.host = " ".into())),
-        ("a prefix without a slash", fault(|r| r.path_prefix = "a/".into())),
+        ("a prefix without a leading slash", fault(|r| r.path_prefix = "a/".into())),
         ("no timeout", fault(|r| r.timeout_us = 0)),
-        ("over ten minutes", fault(|r| r.timeout_us = 600_000_001)),
-        ("ten minutes", fault(|r| r.timeout_us = 600_000_000)),
-        ("a target a minute over the timeout", fault(|r| r.target_us = 61_000_000)),
-        ("a target just below that", fault(|r| r.target_us = 60_999_999)),
+        ("a timeout over ten minutes", fault(|r| r.timeout_us = 600_000_001)),
+        ("a timeout of ten minutes", fault(|r| r.timeout_us = 600_000_000)),
+        ("a target latency a minute over the timeout", fault(|r| r.target_us = 61_000_000)),
+        ("a target latency just below that", fault(|r| r.target_us = 60_999_999)),
         ("an unknown service", fault(|r| r.targets[0].service = "nowhere".into())),
         ("no weight", fault(|r| r.targets[0].weight = 0)),
         ("no service", fault(|r| r.targets.clear())),
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_takes_a_request() {
+fn a_request_matches_the_longest_prefix_of_its_host() {
     let long = route("a.example", "/a/b/", &[("payouts", 1)]);
     let short = route("a.example", "/a/", &[("quotes", 1)]);
     let other = route("b.example", "/", &[("quotes", 1)]);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn parts_of_a_route_get_their_weights_share() {
+fn targets_of_a_route_get_requests_in_proportion_to_their_weights() {
     let parts = route("a.example", "/", &[("quotes", 90), ("payouts", 10)]);
     let index = RouteIndex::new(Some(&table(1, &[("r", parts)])), &Config::default());
     let named = index.find("a.example", "/x").unwrap();
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_change_leads_from_any_table_to_any_other() {
+fn the_difference_of_two_tables_turns_one_into_the_other() {
     arbtest(|u| {
         let mut make = |number| {
             let mut routes = Vec::new();
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn the_highest_number_holds_and_is_read_back_as_it_was_written() {
+fn the_table_with_the_highest_number_is_kept_with_its_source_text() {
     let mut state = ControlState::default();
     let mut index = 0;
     let mut put = |number: u64, text: &str| {
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_large_table_is_packed_small_and_unpacked_as_it_was() {
+fn a_large_table_is_compressed_and_restored_unchanged() {
     let routes: Vec<(String, Route)> = (0..350)
         .map(|i| (format!("r-{i}"), route("a.example", &format!("/path-{i}/"), &[("quotes", 1)])))
         .collect();
--- a/crates/cherrystream-core/tests/transfer/pieces.rs
+++ b/crates/cherrystream-core/tests/transfer/pieces.rs
@@ -1,7 +1,7 @@
-//! The two ends of a transfer.
+//! Sending and receiving ends of a transfer.
 
 use cherrystream_core::transfer::{
-    self, GIVE_UP, KEPT, Pace, PieceFault, Receiving, Sending, Taken,
+    self, GIVE_UP, PARTIAL_TTL, Pace, PieceFault, Receiving, Sending, Taken,
 };
 use cherrystream_core::units::Timestamp;
 use cherrystream_schema::messages::{RaftBody, RaftMessage};
@@ -18,7 +18,7 @@
     Timestamp::from_millis(millis)
 }
 
-/// Sends one piece; returns what arrived if that was the last one.
+/// Sends one piece. Returns the whole content after the last one.
 fn step(now: Timestamp, tx: &mut Sending, rx: &mut Receiving) -> Option<Vec<u8>> {
     let piece = tx.piece(PIECE, 1);
     match rx.take(now, &piece).unwrap() {
@@ -32,28 +32,28 @@
 }
 
 #[test]
-fn a_transfer_arrives_whole() {
+fn a_transfer_delivers_its_content() {
     let (mut tx, mut rx) = (Sending::new(1, 7, content(), at(0)), Receiving::new(LIMIT));
     let whole = (0..11).filter_map(|_| step(at(0), &mut tx, &mut rx)).next_back();
     assert_eq!(whole, Some(content()));
     assert!(tx.is_done());
-    assert_eq!(rx.bytes(), 0, "what was handed out is not kept");
+    assert_eq!(rx.bytes(), 0, "delivered content is not kept");
 }
 
 #[test]
-fn a_transfer_goes_on_where_it_stood() {
+fn a_transfer_resumes_after_a_lost_reply() {
     let (mut tx, mut rx) = (Sending::new(1, 7, content(), at(0)), Receiving::new(LIMIT));
     for _ in 0..6 {
         step(at(0), &mut tx, &mut rx);
     }
-    // The piece arrives, its answer does not; then it is sent once more.
+    // The piece arrives but its reply is lost, so it is sent again.
     rx.take(at(0), &tx.piece(PIECE, 1)).unwrap();
     step(at(1), &mut tx, &mut rx);
     assert_eq!(tx.piece(PIECE, 1).offset, 7_000);
 }
 
 #[test]
-fn the_last_piece_may_come_twice() {
+fn a_duplicate_of_the_last_piece_is_acknowledged() {
     let (mut tx, mut rx) = (Sending::new(1, 7, content(), at(0)), Receiving::new(LIMIT));
     for _ in 0..10 {
         step(at(0), &mut tx, &mut rx);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_receiver_that_lost_everything_is_sent_it_again() {
+fn a_transfer_starts_again_after_a_restart_of_the_receiver() {
     let (mut tx, mut rx) = (Sending::new(1, 7, content(), at(0)), Receiving::new(LIMIT));
     for _ in 0..6 {
         step(at(0), &mut tx, &mut rx);
@@ -76,9 +76,9 @@
     assert_eq!(whole, Some(content()));
 }
 
-/// Beginning anew is no progress: a receiver that never keeps anything is given up.
+/// Guards against endless transfers to a receiver that loses its bytes again and again.
 #[test]
-fn a_transfer_without_progress_is_given_up() {
+fn a_transfer_without_progress_is_aborted() {
     let mut tx = Sending::new(1, 7, content(), at(0));
     tx.on_reply(at(1_000), 3_000);
     for second in 2..31 {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn nonsense_costs_nothing_lasting() {
+fn invalid_pieces_hold_no_memory() {
     let mut rx = Receiving::new(LIMIT);
     let good = Sending::new(1, 7, content(), at(0)).piece(PIECE, 1);
     let mut long = good.clone();
@@ -121,21 +121,21 @@
     let mut beyond = good.clone();
     beyond.total = 10;
     assert_eq!(rx.take(at(0), &beyond), Err(PieceFault::Unreadable));
-    let mut other_sum = Sending::new(1, 7, vec![1; 10], at(0)).piece(PIECE, 1);
-    other_sum.checksum ^= 1;
-    assert_eq!(rx.take(at(0), &other_sum), Err(PieceFault::Checksum));
+    let mut corrupt = Sending::new(1, 7, vec![1; 10], at(0)).piece(PIECE, 1);
+    corrupt.checksum ^= 1;
+    assert_eq!(rx.take(at(0), &corrupt), Err(PieceFault::Checksum));
     assert_eq!(rx.bytes(), 0);
-    // A length that is only announced takes no memory.
+    // The announced size allocates no memory.
     let mut announced = good;
     announced.total = LIMIT;
     rx.take(at(0), &announced).unwrap();
     assert!(rx.bytes() <= 2 * PIECE, "{}", rx.bytes());
-    rx.tidy(at(0) + KEPT);
+    rx.tidy(at(0) + PARTIAL_TTL);
     assert_eq!(rx.bytes(), 0);
 }
 
 #[test]
-fn pieces_are_as_long_as_the_link_bears() {
+fn the_size_of_pieces_adapts_to_the_link() {
     let mut pace = Pace::default();
     let first = pace.bytes();
     pace.on_reply(Duration::from_millis(1));
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_message_is_read_as_it_was_packed() {
+fn a_message_survives_packing_and_unpacking() {
     let body = RaftBody::AppendReply { success: true, match_index: 5, round: 6 };
     let msg = RaftMessage { from: 1, to: 2, disk: "a".into(), term: 3, body };
     let packed = transfer::pack(&msg);
