--- a/crates/cherrystream-core/tests/decisions.rs
+++ b/crates/cherrystream-core/tests/decisions.rs
@@ -92,9 +92,9 @@
         table.set_servers(vec![
             server("near", Distance::SameDomain),
             server("far", Distance::SameRegion),
-            server("lies", Distance::SameRegion),
+            server("faulty", Distance::SameRegion),
         ]);
-        let mut many = |table: &mut Table, now: u64| {
+        let mut choose_60 = |table: &mut Table, now: u64| {
             let mut chosen = std::collections::BTreeMap::new();
             for _ in 0..60 {
                 let id = table.choose(ms(now), &mut rng, &[]).unwrap();
@@ -102,27 +102,30 @@
             }
             chosen
         };
-        s.event(&format!("{policy}: no load"), many(&mut table, 0));
-        for name in ["near", "far", "lies"] {
+        s.event(&format!("{policy}: no load"), choose_60(&mut table, 0));
+        for name in ["near", "far", "faulty"] {
             table.server(name).unwrap().on_report(ms(10), report(3, 2_000, 1));
         }
-        s.event("even load", many(&mut table, 11));
+        s.event("even load", choose_60(&mut table, 11));
         table.server("near").unwrap().on_report(ms(20), report(12, 2_000, 2));
-        s.event("near is full", many(&mut table, 21));
-        s.event("the report is a second old", many(&mut table, 1_020));
-        let lies = table.server("lies").unwrap();
-        lies.on_report(ms(1_100), report(0, 100, 2));
+        s.event("near is full", choose_60(&mut table, 21));
+        s.event("the report is a second old", choose_60(&mut table, 1_020));
+        let faulty = table.server("faulty").unwrap();
+        faulty.on_report(ms(1_100), report(0, 100, 2));
         for _ in 0..20 {
-            lies.on_error(ms(1_100));
+            faulty.on_error(ms(1_100));
         }
-        s.event("lies fails fast and claims no load", many(&mut table, 1_101));
+        s.event("faulty fails fast and reports no load", choose_60(&mut table, 1_101));
         let far = table.server("far").unwrap();
         far.on_sent(ms(1_101));
-        s.event("far has stalled", many(&mut table, 1_400));
+        s.event("far is stalled", choose_60(&mut table, 1_400));
         table.server("near").unwrap().on_closed(ms(1_400));
-        s.event("near is leaving", many(&mut table, 1_401));
-        let tried = ["near".into(), "far".into(), "lies".into()];
-        s.event("all were tried", table.choose(ms(1_402), &mut SmallRng::seed_from_u64(1), &tried));
+        s.event("near accepts no work", choose_60(&mut table, 1_401));
+        let tried = ["near".into(), "far".into(), "faulty".into()];
+        s.event(
+            "all have been tried",
+            table.choose(ms(1_402), &mut SmallRng::seed_from_u64(1), &tried),
+        );
     }
     insta::assert_snapshot!(s.0);
 }
@@ -137,32 +140,36 @@
         let replayable = true;
         Failed { reason, attempts, repeatable, replayable, arrivals, arrivals_at_most: 4 }
     };
-    let mut weigh = |what: &str, failed: Failed, allowance: &mut Allowance| {
+    let mut decide = |what: &str, failed: Failed, allowance: &mut Allowance| {
         s.event(what, retry::decide(failed, &mut budget, allowance));
     };
-    weigh("refused, not run", failed(Reason::QueueFull, 1, false), &mut allowance);
-    weigh("no quorum", failed(Reason::LedgerUnavailable, 1, false), &mut allowance);
-    weigh("broke, not repeatable", failed(Reason::PeerBroke, 1, false), &mut allowance);
-    weigh("broke, repeatable", failed(Reason::PeerBroke, 1, true), &mut allowance);
-    weigh(
-        "broke again: the allowance is used up",
+    decide("refused by the inbound", failed(Reason::QueueFull, 1, false), &mut allowance);
+    decide("ledger without quorum", failed(Reason::LedgerUnavailable, 1, false), &mut allowance);
+    decide(
+        "broken connection, not repeatable",
+        failed(Reason::PeerBroke, 1, false),
+        &mut allowance,
+    );
+    decide("broken connection, repeatable", failed(Reason::PeerBroke, 1, true), &mut allowance);
+    decide(
+        "broken connection, allowance used up",
         failed(Reason::PeerBroke, 2, true),
         &mut allowance,
     );
-    weigh("deadline passed", failed(Reason::DeadlinePassed, 1, true), &mut Allowance::new(None));
-    weigh(
-        "carried allowance of none",
+    decide("deadline passed", failed(Reason::DeadlinePassed, 1, true), &mut Allowance::new(None));
+    decide(
+        "carried allowance of 0",
         failed(Reason::PeerBroke, 1, true),
         &mut Allowance::new(Some(0)),
     );
-    weigh(
-        "carried allowance beyond ours",
+    decide(
+        "carried allowance above the maximum",
         failed(Reason::PeerBroke, 1, true),
         &mut Allowance::new(Some(99)),
     );
-    weigh("too many attempts", failed(Reason::QueueFull, 4, false), &mut allowance);
-    let gone = Failed { replayable: false, ..failed(Reason::QueueFull, 1, true) };
-    weigh("the body is gone", gone, &mut allowance);
+    decide("too many attempts", failed(Reason::QueueFull, 4, false), &mut allowance);
+    let not_replayable = Failed { replayable: false, ..failed(Reason::QueueFull, 1, true) };
+    decide("the body cannot be sent again", not_replayable, &mut allowance);
     let mut spent = 0;
     while retry::decide(failed(Reason::BackendServerRefused, 1, true), &mut budget, &mut allowance)
     {
@@ -179,10 +186,10 @@
     }
     s.event("retries earned by 100 calls", earned);
     let mut rng = SmallRng::seed_from_u64(3);
-    let back: Vec<u128> = (0..6)
+    let delays: Vec<u128> = (0..6)
         .map(|_| retry::return_after(Duration::from_millis(100), &mut rng).as_millis())
         .collect();
-    s.event("when six callers come back, in ms", back);
+    s.event("delays of six callers in ms", delays);
     insta::assert_snapshot!(s.0);
 }
 
--- a/crates/cherrystream-core/tests/offers.rs
+++ b/crates/cherrystream-core/tests/offers.rs
@@ -1,4 +1,4 @@
-//! Where a request with a choice is offered first.
+//! Choice of the backend server that a request is offered to first.
 
 use cherrystream_core::choose::{self, Distance, Nearby, ServerId, Table};
 use cherrystream_core::units::Timestamp;
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_busy_backend_server_is_offered_nothing_until_it_may_have_room() {
+fn a_busy_backend_server_is_not_chosen_until_it_may_have_a_free_slot() {
     let mut table = table(vec![server("a", Distance::SameDomain)]);
     table.server("a").unwrap().on_busy(ms(1_000), "order", Duration::from_millis(40));
     assert_eq!(offered(&mut table, 1_020), None);
@@ -58,25 +58,25 @@
 }
 
 #[test]
-fn a_report_of_room_ends_the_belief_that_a_backend_server_is_busy() {
+fn a_load_report_with_free_slots_clears_the_busy_state() {
     let mut table = table(vec![server("a", Distance::SameDomain)]);
-    let known = table.server("a").unwrap();
-    known.on_busy(ms(1_000), "order", Duration::from_millis(200));
-    known.on_report(ms(1_010), report(10, 1));
+    let server = table.server("a").unwrap();
+    server.on_busy(ms(1_000), "order", Duration::from_millis(200));
+    server.on_report(ms(1_010), report(10, 1));
     assert_eq!(offered(&mut table, 1_011), None);
     table.server("a").unwrap().on_report(ms(1_020), report(3, 2));
     assert_eq!(offered(&mut table, 1_021).as_deref(), Some("a"));
 }
 
 #[test]
-fn a_backend_server_is_believed_to_be_busy_for_a_bounded_time() {
+fn a_backend_server_is_considered_busy_for_a_bounded_time() {
     let mut table = table(vec![server("a", Distance::SameDomain)]);
     table.server("a").unwrap().on_busy(ms(1_000), "order", Duration::from_secs(60));
     assert_eq!(offered(&mut table, 1_400).as_deref(), Some("a"));
 }
 
 #[test]
-fn offers_go_to_the_own_failure_domain_while_it_is_sound() {
+fn the_same_failure_domain_is_preferred_while_it_is_healthy() {
     let mut table =
         table(vec![server("near", Distance::SameDomain), server("far", Distance::SameRegion)]);
     table.server("near").unwrap().on_report(ms(1_000), report(8, 1));
@@ -86,20 +86,20 @@
     let near = table.server("near").unwrap();
     (0..5).for_each(|_| near.on_error(ms(1_002)));
     assert_eq!(offered(&mut table, 1_003).as_deref(), Some("far"));
-    // Errors are forgotten, so that it is tried again.
+    // The weight of errors decays, so the server is tried again.
     assert_eq!(offered(&mut table, 6_000).as_deref(), Some("near"));
 }
 
-/// Calls by running requests have slots of their own.
+/// Kinds differ in their slots and their place in the queue.
 #[test]
-fn what_one_kind_is_refused_tells_nothing_of_another() {
+fn a_refusal_of_one_kind_does_not_affect_another() {
     let mut table = table(vec![server("a", Distance::SameDomain)]);
     table.server("a").unwrap().on_busy(ms(1_000), "quote", Duration::from_millis(200));
     assert_eq!(offered(&mut table, 1_001).as_deref(), Some("a"));
 }
 
 #[test]
-fn a_request_is_refused_at_once_where_every_queue_is_too_long() {
+fn a_request_is_refused_at_once_if_every_queue_is_full() {
     let mut table =
         table(vec![server("a", Distance::SameDomain), server("b", Distance::SameRegion)]);
     let mut rng = SmallRng::seed_from_u64(1);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_busy_one_nearby_gives_way_to_a_free_one_far_away() {
+fn a_free_remote_server_is_chosen_over_a_busy_near_one() {
     let mut table =
         table(vec![server("near", Distance::SameDomain), server("far", Distance::SameRegion)]);
     table.server("near").unwrap().on_busy(ms(1_000), "order", Duration::from_millis(40));
@@ -131,22 +131,22 @@
     near.map(|id| id.name.to_string())
 }
 
-/// Bytes between failure domains are dear where the operator says so.
+/// Guards against long waits in the same failure domain when traffic to others is expensive.
 #[test]
-fn a_request_waits_nearby_only_where_its_turn_comes_soon() {
+fn a_request_waits_near_only_if_it_starts_soon() {
     let mut table =
         table(vec![server("near", Distance::SameDomain), server("far", Distance::SameRegion)]);
     table.server("near").unwrap().on_busy(ms(1_000), "order", Duration::from_millis(40));
-    assert_eq!(waits_near(&mut table, 1_000, 30), None, "its turn comes too late");
+    assert_eq!(waits_near(&mut table, 1_000, 30), None, "the wait is too long");
     assert_eq!(waits_near(&mut table, 1_015, 30).as_deref(), Some("near"));
 
     table.server("near").unwrap().on_full(ms(1_015), "order", Duration::from_millis(20));
-    assert_eq!(waits_near(&mut table, 1_020, 30), None, "the queue is too long");
+    assert_eq!(waits_near(&mut table, 1_020, 30), None, "the queue is full");
     assert_eq!(waits_near(&mut table, 1_040, 30).as_deref(), Some("near"));
 }
 
 #[test]
-fn a_request_does_not_wait_nearby_where_work_is_slow_or_fails() {
+fn a_request_does_not_wait_near_if_the_server_is_slow_or_unhealthy() {
     let mut table = table(vec![server("near", Distance::SameDomain)]);
     let near = table.server("near").unwrap();
     near.on_report(ms(1_000), Report { slowness: 400, ..report(10, 1) });
@@ -159,9 +159,9 @@
     assert_eq!(waits_near(&mut table, 1_013, 30), None);
 }
 
-/// What a request with a long body is told of its own failure domain.
+/// A request with a long body waits for a busy near server instead of crossing failure domains.
 #[test]
-fn a_long_body_is_offered_nearby_again_and_again_while_that_is_sound() {
+fn a_near_server_is_offered_again_when_it_is_free() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut table =
         table(vec![server("near", Distance::SameDomain), server("far", Distance::SameRegion)]);
@@ -175,5 +175,9 @@
     assert_eq!(nearby(&mut table, 1_010), Nearby::BusyFor(Duration::from_millis(30)));
     assert_eq!(name(nearby(&mut table, 1_041)).as_deref(), Some("near"));
     table.server("near").unwrap().on_closed(ms(1_050));
-    assert_eq!(nearby(&mut table, 1_060), Nearby::None, "it waits for none that takes no work");
+    assert_eq!(
+        nearby(&mut table, 1_060),
+        Nearby::None,
+        "no wait for a server that accepts no work"
+    );
 }
--- a/crates/cherrystream-core/tests/replica_choice.rs
+++ b/crates/cherrystream-core/tests/replica_choice.rs
@@ -1,4 +1,4 @@
-//! Which control replica a daemon keeps to.
+//! Choice of the control replica that a daemon connects to.
 
 use cherrystream_core::replica_choice::{self, ReplicaChoice};
 use cherrystream_core::units::Timestamp;
@@ -16,7 +16,7 @@
 const START: Timestamp = Timestamp::from_millis(1_000);
 
 #[test]
-fn the_replica_of_the_own_failure_domain_is_tried_as_soon_as_one_tells_of_it() {
+fn a_replica_of_the_same_failure_domain_is_preferred_once_it_is_known() {
     let mut choice = ReplicaChoice::new("d", seeds(), 1);
     assert_eq!(choice.next(START), Some("b:1"));
     choice.learn(&[replica("a:1", "a"), replica("b:1", "b"), replica("d:1", "d")]);
@@ -25,9 +25,9 @@
     assert!(!choice.is_nearer_known(START, "d:1"));
 }
 
-/// A daemon that was driven far away stays there until the one nearby had time to come back, then returns.
+/// Guards against a daemon that stays at a remote replica after the near one is back.
 #[test]
-fn a_daemon_comes_back_to_the_replica_of_its_failure_domain() {
+fn a_daemon_returns_to_the_replica_of_its_failure_domain_after_the_backoff() {
     let mut choice = ReplicaChoice::new("a", Vec::new(), 0);
     choice.learn(&[replica("a:1", "a"), replica("b:1", "b")]);
     choice.on_lost(START, "a:1", Duration::ZERO);
@@ -40,9 +40,9 @@
     assert_eq!(choice.next(later), Some("a:1"));
 }
 
-/// Load: a replica that stays silent. Each try takes a daemon from the one that serves it, for as long as a call waits.
+/// Guards against retries of an unresponsive replica that keep a daemon without control.
 #[test]
-fn a_replica_that_stays_silent_takes_a_small_share_of_the_time() {
+fn an_unresponsive_replica_costs_a_small_share_of_the_time() {
     let mut choice = ReplicaChoice::new("a", Vec::new(), 0);
     choice.learn(&[replica("a:1", "a"), replica("b:1", "b")]);
     let call = Duration::from_millis(1_200);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn all_are_tried_in_turn_while_none_answers() {
+fn all_replicas_are_tried_in_turn_while_none_answers() {
     let mut choice = ReplicaChoice::new("a", seeds(), 0);
     let mut tried = Vec::new();
     for _ in 0..6 {
@@ -72,9 +72,9 @@
     }
 }
 
-/// Replicas that stand by tell addresses only.
+/// Standby replicas return addresses without failure domains.
 #[test]
-fn a_failure_domain_that_was_told_is_kept() {
+fn a_known_failure_domain_is_kept_when_a_list_lacks_it() {
     let mut choice = ReplicaChoice::new("a", seeds(), 0);
     choice.on_domain("c:1", "a");
     let unknown = |address: String| ReplicaAddress { address, failure_domain: None };
@@ -83,10 +83,10 @@
 }
 
 #[test]
-fn a_checksum_tells_whether_the_replicas_are_known() {
-    let told = [replica("a:1", "a"), replica("b:1", "b")];
+fn the_checksum_covers_addresses_and_failure_domains() {
+    let replicas = [replica("a:1", "a"), replica("b:1", "b")];
     let mut choice = ReplicaChoice::new("a", Vec::new(), 0);
-    choice.learn(&told);
-    assert_eq!(choice.checksum(), replica_choice::checksum(&told));
+    choice.learn(&replicas);
+    assert_eq!(choice.checksum(), replica_choice::checksum(&replicas));
     assert_ne!(choice.checksum(), replica_choice::checksum(&[replica("a:1", "b")]));
 }
--- a/crates/cherrystream-core/tests/reservations.rs
+++ b/crates/cherrystream-core/tests/reservations.rs
@@ -1,4 +1,4 @@
-//! Slots that are kept for requests that follow.
+//! Reservations of slots.
 
 use cherrystream_core::reservations::{KEPT_FOR, Reservation, Reservations};
 use cherrystream_core::units::Timestamp;
@@ -7,16 +7,16 @@
 const NOW: Timestamp = Timestamp::from_millis(1_000);
 
 #[test]
-fn a_slot_is_handed_out_once() {
+fn a_reserved_slot_is_taken_once() {
     let mut reservations = Reservations::default();
     reservations.keep(NOW, Reservation(7), "slot");
-    assert_eq!(reservations.take(NOW, Reservation(8)), None, "another request's name");
+    assert_eq!(reservations.take(NOW, Reservation(8)), None, "another reservation");
     assert_eq!(reservations.take(NOW, Reservation(7)), Some("slot"));
     assert_eq!(reservations.take(NOW, Reservation(7)), None);
 }
 
 #[test]
-fn a_slot_that_nobody_comes_for_is_free_again() {
+fn an_unused_reservation_expires() {
     let mut reservations = Reservations::default();
     reservations.keep(NOW, Reservation(1), "early");
     reservations.keep(NOW + Duration::from_millis(1), Reservation(2), "late");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_request_that_comes_too_late_has_no_slot() {
+fn an_expired_reservation_yields_no_slot() {
     let mut reservations = Reservations::default();
     reservations.keep(NOW, Reservation(1), "slot");
     assert_eq!(reservations.take(NOW + KEPT_FOR, Reservation(1)), None);
--- a/crates/cherrystream-core/tests/route_patches.rs
+++ b/crates/cherrystream-core/tests/route_patches.rs
@@ -1,4 +1,4 @@
-//! Patches of route tables in the log, and of the texts that operators wrote.
+//! Patches of route tables in the log, and of their source texts.
 
 use arbtest::arbtest;
 use cherrystream_core::routes;
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_patch_leads_to_the_table_and_the_text_that_were_ordered() {
+fn a_patch_yields_the_new_table_and_its_source_text() {
     arbtest(|u| {
         let mut log = Log::default();
         let mut held = order(1, &[1, 2, 3]);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_patch_of_another_table_changes_nothing_and_says_which_one_holds() {
+fn a_patch_of_another_table_changes_nothing_and_returns_the_current_number() {
     let mut log = Log::default();
     let (first, second, third) = (order(1, &[1]), order(2, &[1, 2]), order(3, &[1, 2, 3]));
     assert_eq!(log.apply(patch(&first, &second)), Applied::RoutesMoved(0), "there is no table yet");
@@ -114,9 +114,9 @@
     assert!(log.holds(&third));
 }
 
-/// The fault was 260 KB in the log for each change of a table of 4,200 routes, whatever it changed.
+/// Guards against log entries with the whole table for a small change of a large table.
 #[test]
-fn a_patch_is_as_long_as_what_it_changes() {
+fn the_size_of_a_patch_follows_the_size_of_the_change() {
     let old = order(1, &(0..4_200).collect::<Vec<_>>());
     let renumbered = order(2, &(0..4_200).collect::<Vec<_>>());
     let longer = order(2, &(0..4_300).collect::<Vec<_>>());
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_text_patch_leads_from_any_text_to_any_other_and_fits_no_third() {
+fn a_text_patch_yields_the_new_text_and_does_not_apply_to_a_third() {
     arbtest(|u| {
         let mut text = || {
             let mut text = String::new();
--- a/crates/cherrystream-core/tests/sessions.rs
+++ b/crates/cherrystream-core/tests/sessions.rs
@@ -258,11 +258,11 @@
         log.commit(Command::Claim { request, at_ms, expire_before_ms: at_ms.saturating_sub(1_000) })
     };
     s.event("first claim", at(&mut log, 0, claim(1, 1, None)));
-    s.event("the same claim, its answer lost", at(&mut log, 10, claim(1, 1, None)));
+    s.event("the same claim again", at(&mut log, 10, claim(1, 1, None)));
     s.event("a resend by another outbound", at(&mut log, 20, claim(2, 1, None)));
     let other = ClaimRequest { fingerprint: 12, ..claim(3, 1, None) };
-    s.event("another body under the key", at(&mut log, 30, other));
-    s.event("a second attempt without proof", at(&mut log, 40, claim(4, 2, None)));
+    s.event("another request with the same key", at(&mut log, 30, other));
+    s.event("a second attempt without a proof", at(&mut log, 40, claim(4, 2, None)));
     let holder = Holder {
         attempt: 1,
         claim: 1,
@@ -272,24 +272,24 @@
     };
     let wrong = Holder { claim: 9, ..holder.clone() };
     s.event("proof of another attempt", at(&mut log, 50, claim(5, 2, Some(wrong))));
-    s.event("the inbound's proof", at(&mut log, 60, claim(6, 2, Some(holder.clone()))));
+    s.event("proof of the inbound", at(&mut log, 60, claim(6, 2, Some(holder.clone()))));
     s.event("the same proof again", at(&mut log, 70, claim(7, 2, Some(holder))));
     let release = ReleaseRequest { service: "payouts".into(), key: "order-7".into(), claim: 6 };
-    s.event("the second is released", log.commit(Command::Release { request: release }));
-    s.event("a resend learns of it", at(&mut log, 80, claim(8, 1, None)));
-    s.event("and makes the third", at(&mut log, 90, claim(9, 3, None)));
-    s.event("beyond the window", at(&mut log, 2_000, claim(10, 1, None)));
+    s.event("the second attempt is released", log.commit(Command::Release { request: release }));
+    s.event("a resend is informed of the release", at(&mut log, 80, claim(8, 1, None)));
+    s.event("the resend claims the third attempt", at(&mut log, 90, claim(9, 3, None)));
+    s.event("a claim after the first ones expired", at(&mut log, 2_000, claim(10, 1, None)));
     insta::assert_snapshot!(s.0);
 }
 
 #[test]
-fn only_a_uuid_v7_tells_its_age() {
-    let made = |key| ledger::key_time_ms(key);
-    assert_eq!(made("01890a5d-ac96-774b-bcce-b302099a8057"), Some(0x0189_0a5d_ac96));
-    assert_eq!(made("3f0e8d0a-1c2b-4d3e-9f00-a1b2c3d4e5f6"), None);
-    // 32 random digits that could be read as a UUIDv7 of long ago.
-    assert_eq!(made("01890a5dac96774bbcceb302099a8057"), None);
-    assert_eq!(made("order-7"), None);
+fn only_a_uuid_v7_with_hyphens_has_a_time() {
+    let time_ms = |key| ledger::key_time_ms(key);
+    assert_eq!(time_ms("01890a5d-ac96-774b-bcce-b302099a8057"), Some(0x0189_0a5d_ac96));
+    assert_eq!(time_ms("3f0e8d0a-1c2b-4d3e-9f00-a1b2c3d4e5f6"), None);
+    // 32 random digits that look like a UUIDv7.
+    assert_eq!(time_ms("01890a5dac96774bbcceb302099a8057"), None);
+    assert_eq!(time_ms("order-7"), None);
 }
 
 #[test]
@@ -309,26 +309,32 @@
         forbid,
     };
     let old = Claimed { incarnation: 499, ..claimed(1, 10) };
-    s.event("an attempt for an earlier run", table.begin(&key("a"), old));
-    s.event("an attempt begins", table.begin(&key("a"), claimed(1, 10)));
+    s.event("an attempt for an earlier incarnation", table.begin(&key("a"), old));
+    s.event("an attempt starts", table.begin(&key("a"), claimed(1, 10)));
     s.event("it arrives again", table.begin(&key("a"), claimed(1, 10)));
-    s.event("a resend asks", table.fence(&fence("a", 1, 10, true)));
+    s.event("a resend queries its state", table.fence(&fence("a", 1, 10, true)));
     table.answered(&key("a"), 1, Some(("paid".into(), 15)));
-    s.event("it is answered; a resend asks", table.fence(&fence("a", 1, 10, true)));
-    s.event("and gets the answer", table.answer(&key("a")));
-    s.event("another is asked about", table.fence(&fence("b", 2, 11, false)));
-    s.event("and forbidden before it arrives", table.fence(&fence("b", 2, 11, true)));
-    s.event("it arrives late", table.begin(&key("b"), claimed(2, 11)));
-    s.event("the next attempt begins", table.begin(&key("b"), claimed(3, 12)));
-    s.event("the earlier one arrives once more", table.begin(&key("b"), claimed(2, 11)));
+    s.event(
+        "it is answered, and a resend queries its state",
+        table.fence(&fence("a", 1, 10, true)),
+    );
+    s.event("the held answer", table.answer(&key("a")));
+    s.event("an unknown attempt is queried", table.fence(&fence("b", 2, 11, false)));
+    s.event("the unknown attempt is fenced", table.fence(&fence("b", 2, 11, true)));
+    s.event("the fenced attempt arrives", table.begin(&key("b"), claimed(2, 11)));
+    s.event("the next attempt of the key starts", table.begin(&key("b"), claimed(3, 12)));
+    s.event("the fenced attempt arrives again", table.begin(&key("b"), claimed(2, 11)));
     table.answered(&key("b"), 3, Some(("paid".into(), 15)));
-    s.event("the first answer made room", table.fence(&fence("a", 1, 10, true)));
-    s.event("the link broke on a third", table.begin(&key("c"), claimed(4, 13)));
+    s.event("the first answer was evicted", table.fence(&fence("a", 1, 10, true)));
+    s.event("a third attempt starts", table.begin(&key("c"), claimed(4, 13)));
     table.broke(&key("c"), 4);
-    s.event("its resend asks", table.fence(&fence("c", 4, 13, true)));
-    s.event("a fourth is more than the table holds", table.begin(&key("d"), claimed(5, 14)));
-    s.event("the oldest is forgotten, never run", table.begin(&key("a"), claimed(1, 10)));
-    s.event("and cannot be told", table.fence(&fence("a", 1, 10, true)));
+    s.event(
+        "its connection broke, and a resend queries its state",
+        table.fence(&fence("c", 4, 13, true)),
+    );
+    s.event("a fourth attempt exceeds the table", table.begin(&key("d"), claimed(5, 14)));
+    s.event("the evicted attempt arrives again", table.begin(&key("a"), claimed(1, 10)));
+    s.event("the evicted attempt is queried", table.fence(&fence("a", 1, 10, true)));
     insta::assert_snapshot!(s.0);
 }
 
--- a/crates/cherrystream-core/tests/transfer/lanes.rs
+++ b/crates/cherrystream-core/tests/transfer/lanes.rs
@@ -1,4 +1,4 @@
-//! What waits for one replica, and in which order it is sent.
+//! Send queue to one replica: order, limits and obsolete messages.
 
 use cherrystream_core::transfer::Outbox;
 use cherrystream_core::units::Timestamp;
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Bytes of an entry that goes in pieces.
+/// Size in bytes of an entry that is sent in pieces.
 const LONG: usize = 100_000;
 const START: Timestamp = Timestamp(0);
 
@@ -14,7 +14,7 @@
     RaftMessage { from: 1, to: 2, disk: "a".into(), term, body }
 }
 
-/// Entries from `first` on, each with a table of so many bytes.
+/// Returns a message with entries from index `first` on, with tables of the given sizes.
 fn entries(first: u64, sizes: &[usize]) -> RaftMessage {
     let entry = |(i, size): (usize, &usize)| Entry {
         term: 1,
@@ -58,20 +58,20 @@
 }
 
 #[test]
-fn short_entries_go_at_once() {
+fn short_entries_are_sent_as_short_messages() {
     let mut outbox = outbox(vec![entries(5, &[10, 10])]);
     assert_eq!(short(&mut outbox), vec![(4, vec![5, 6])]);
     assert_eq!(outbox.take_long(), None);
 }
 
 #[test]
-fn long_entries_leave_a_heartbeat_among_the_short_messages() {
+fn long_entries_queue_a_heartbeat_among_the_short_messages() {
     let mut outbox = outbox(vec![entries(5, &[LONG])]);
     assert_eq!(short(&mut outbox), vec![(4, vec![])]);
     assert_eq!(indexes(&outbox.take_long().unwrap()), (4, vec![5]));
 }
 
-/// The entries that follow would be rejected if they came first.
+/// Guards against entries that the replica rejects because they overtake earlier ones.
 #[test]
 fn entries_after_long_ones_wait_for_them() {
     let mut outbox = outbox(vec![entries(5, &[LONG]), entries(6, &[10]), entries(7, &[10])]);
@@ -84,27 +84,27 @@
     let mut outbox = outbox(vec![entries(5, &[10]), entries(6, &[LONG])]);
     assert_eq!(outbox.take_long(), None);
     let call = outbox.take_short();
-    assert_eq!(call.len(), 2, "the entry, and the heartbeat");
-    assert_eq!(outbox.take_long(), None, "the call is on its way");
+    assert_eq!(call.len(), 2, "the entry and the heartbeat");
+    assert_eq!(outbox.take_long(), None, "the call is in flight");
     outbox.finish_short(true);
     assert_eq!(indexes(&outbox.take_long().unwrap()), (5, vec![6]));
 }
 
 #[test]
-fn what_is_on_its_way_is_not_sent_again() {
+fn entries_in_flight_are_not_sent_again() {
     let mut outbox = outbox(vec![entries(5, &[LONG, LONG])]);
     short(&mut outbox);
     outbox.take_long();
     outbox.push(START, entries(5, &[LONG, LONG]));
     outbox.push(START, entries(5, &[LONG, LONG, LONG]));
-    assert_eq!(short(&mut outbox), vec![(4, vec![])], "one heartbeat, that does not run ahead");
+    assert_eq!(short(&mut outbox), vec![(4, vec![])], "one heartbeat, not ahead of the entries");
     assert!(!outbox.is_abandoned());
     outbox.finish_long(START, true);
     assert_eq!(indexes(&outbox.take_long().unwrap()), (6, vec![7]));
 }
 
 #[test]
-fn what_arrived_counts_as_on_its_way_for_a_while() {
+fn delivered_entries_are_not_sent_again_before_the_timeout() {
     let mut outbox = outbox(vec![entries(5, &[LONG])]);
     short(&mut outbox);
     outbox.take_long();
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_heartbeat_tells_what_the_replica_holds_already() {
+fn a_heartbeat_abandons_transfers_of_acknowledged_entries() {
     let mut outbox = outbox(vec![entries(5, &[LONG])]);
     short(&mut outbox);
     outbox.take_long();
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn entries_that_were_lost_before_long_ones_are_sent_before_them() {
+fn lost_entries_before_long_ones_are_sent_first() {
     let mut outbox = outbox(vec![entries(7, &[LONG])]);
     short(&mut outbox);
     outbox.take_long();
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_replica_that_lost_its_log_is_sent_all_of_it() {
+fn a_replica_that_lost_its_log_receives_all_entries() {
     let mut outbox = outbox(vec![entries(7, &[LONG])]);
     short(&mut outbox);
     outbox.take_long();
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_gap_in_the_lane_is_never_made() {
+fn the_lane_has_no_gaps() {
     let mut outbox = outbox(vec![entries(5, &[LONG]), entries(7, &[LONG])]);
     assert_eq!(outbox.take_dropped(), 1);
     short(&mut outbox);
@@ -187,9 +187,9 @@
     assert_eq!(outbox.take_long(), None);
 }
 
-/// A snapshot holds only what is committed; the term in which it is sent is that of its last piece.
+/// A snapshot holds only committed state, so its transfer stays valid after an election.
 #[test]
-fn a_snapshot_is_sent_on_in_the_next_term_of_the_same_leader() {
+fn a_snapshot_continues_in_the_next_term_of_the_same_leader() {
     let mut outbox = outbox(vec![snapshot(1, 50, LONG)]);
     let msg = outbox.take_long().unwrap();
     assert!(matches!(msg.body, RaftBody::Install { round: 0, .. }));
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_newer_snapshot_replaces_one_on_its_way_only_if_it_ends_sooner() {
+fn a_newer_snapshot_replaces_one_in_flight_only_if_it_completes_sooner() {
     let mut outbox = outbox(vec![snapshot(1, 50, LONG)]);
     outbox.take_long();
     outbox.note_left(0.5);
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn a_snapshot_counts_as_on_its_way_until_the_replica_may_have_taken_it() {
+fn a_delivered_snapshot_is_not_sent_again_before_the_timeout() {
     let mut outbox = outbox(vec![snapshot(1, 50, LONG)]);
     assert_eq!(outbox.snapshot_index(START), Some(50));
     outbox.take_long();
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn another_leader_ends_the_transfers() {
+fn a_change_of_leader_abandons_the_transfers() {
     let mut outbox = outbox(vec![snapshot(1, 50, LONG)]);
     outbox.take_long();
     outbox.drop_long();
@@ -231,9 +231,9 @@
     assert_eq!(outbox.snapshot_index(START), None);
 }
 
-/// A call of short messages has a fixed time as well, so its bytes follow what the link carries.
+/// Guards against calls of short messages that always time out on a slow link.
 #[test]
-fn fewer_entries_go_at_once_where_calls_fail() {
+fn failed_calls_reduce_the_size_of_short_messages() {
     let mut outbox = Outbox::default();
     for _ in 0..10 {
         outbox.take_short();
--- a/crates/cherrystream-core/tests/transfer/main.rs
+++ b/crates/cherrystream-core/tests/transfer/main.rs
@@ -1,4 +1,4 @@
-//! Long messages between replicas.
+//! Transfer of long messages between control replicas.
 
 mod lanes;
 mod pieces;
--- a/crates/cherrystream-core/tests/transfer/schedules.rs
+++ b/crates/cherrystream-core/tests/transfer/schedules.rs
@@ -1,5 +1,4 @@
-//! A leader and a follower over a thin link that loses calls and breaks: whatever is proposed arrives,
-//! and the leader stays.
+//! Random schedules of a leader and a follower over a slow link that loses calls and stalls.
 
 use cherrystream_core::raft::{self, Options, Raft};
 use cherrystream_core::transfer::Outbox;
@@ -9,52 +8,52 @@
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// Random schedules.
+/// Number of random schedules.
 const SEEDS: u64 = 150;
-/// Time that passes at once.
+/// Time of one step.
 const STEP: Duration = Duration::from_millis(10);
-/// Bytes of a transfer that pass in one step: 340 KB a second.
-const BYTES_IN_STEP: usize = 3_400;
-/// Steps in which entries are proposed.
+/// Bytes of a transfer that the link carries in one step.
+const BYTES_PER_STEP: usize = 3_400;
+/// Number of steps in which entries are proposed.
 const BUSY_STEPS: u32 = 1_000;
-/// Steps until everything has arrived.
+/// Number of steps after which all entries must have arrived.
 const STEPS: u32 = 6_000;
-/// Longest table in bytes.
-const TABLE_BYTES: usize = 300_000;
+/// Largest size of a table in bytes.
+const MAX_TABLE_BYTES: usize = 300_000;
 
-/// A call or transfer on its way.
-struct OnWay<T> {
-    what: T,
+/// A call or transfer in flight.
+struct InFlight<T> {
+    content: T,
     until: Timestamp,
 }
 
-/// One way of the link.
+/// One direction of the link.
 #[derive(Default)]
-struct Way {
+struct Direction {
     outbox: Outbox,
-    call: Option<OnWay<Vec<RaftMessage>>>,
-    transfer: Option<OnWay<RaftMessage>>,
+    call: Option<InFlight<Vec<RaftMessage>>>,
+    transfer: Option<InFlight<RaftMessage>>,
 }
 
-impl Way {
-    /// Lets a step pass; returns what arrives.
-    fn pass(&mut self, now: Timestamp, rng: &mut SmallRng, arrived: &mut Vec<RaftMessage>) {
+impl Direction {
+    /// Simulates one step, and appends the messages that arrive.
+    fn step(&mut self, now: Timestamp, rng: &mut SmallRng, arrived: &mut Vec<RaftMessage>) {
         if let Some(call) = self.call.take_if(|call| now >= call.until) {
             let answered = rng.random_bool(0.98);
             self.outbox.finish_short(answered);
             if answered {
-                arrived.extend(call.what);
+                arrived.extend(call.content);
             }
         }
         if self.call.is_none() {
-            let what = self.outbox.take_short();
+            let content = self.outbox.take_short();
             let until = now + Duration::from_millis(rng.random_range(1..80));
-            self.call = (!what.is_empty()).then_some(OnWay { what, until });
+            self.call = (!content.is_empty()).then_some(InFlight { content, until });
         }
-        self.pass_transfer(now, rng, arrived);
+        self.step_transfer(now, rng, arrived);
     }
 
-    fn pass_transfer(
+    fn step_transfer(
         &mut self,
         now: Timestamp,
         rng: &mut SmallRng,
@@ -66,16 +65,16 @@
         }
         if let Some(transfer) = &mut self.transfer {
             if rng.random_bool(0.01) {
-                // It goes on where it stood once the link is back.
+                // The transfer resumes when the link is back.
                 transfer.until = transfer.until + Duration::from_millis(300);
             }
-        } else if let Some(what) = self.outbox.take_long() {
-            let steps = raft::message_bytes(&what) / BYTES_IN_STEP + 1;
-            self.transfer = Some(OnWay { what, until: now + STEP * steps as u32 });
+        } else if let Some(content) = self.outbox.take_long() {
+            let steps = raft::message_bytes(&content) / BYTES_PER_STEP + 1;
+            self.transfer = Some(InFlight { content, until: now + STEP * steps as u32 });
         }
         if let Some(mut transfer) = self.transfer.take_if(|transfer| now >= transfer.until) {
-            transfer.what.term = self.outbox.term();
-            arrived.push(transfer.what);
+            transfer.content.term = self.outbox.term();
+            arrived.push(transfer.content);
             self.outbox.finish_long(now, true);
         }
     }
@@ -83,8 +82,8 @@
 
 struct Pair {
     replicas: [Raft; 2],
-    /// Ways from each replica to the other.
-    ways: [Way; 2],
+    /// Directions of the link, by sending replica.
+    directions: [Direction; 2],
     now: Timestamp,
     rng: SmallRng,
 }
@@ -103,7 +102,7 @@
         };
         Pair {
             replicas: [replica(1), replica(2)],
-            ways: Default::default(),
+            directions: Default::default(),
             now: Timestamp::default(),
             rng: SmallRng::seed_from_u64(seed),
         }
@@ -122,14 +121,14 @@
                     break;
                 }
                 for msg in ready.before.into_iter().chain(ready.after) {
-                    self.ways[i].outbox.push(self.now, msg);
+                    self.directions[i].outbox.push(self.now, msg);
                 }
                 raft.saved(self.now);
             }
         }
         for i in 0..2 {
             let mut arrived = Vec::new();
-            self.ways[i].pass(self.now, &mut self.rng, &mut arrived);
+            self.directions[i].step(self.now, &mut self.rng, &mut arrived);
             for msg in arrived {
                 self.replicas[1 - i].step(self.now, msg);
             }
@@ -146,7 +145,7 @@
             self.replicas[leader].propose(Command::Noop { by: 1 }).unwrap();
         }
         if self.rng.random_bool(0.01) {
-            let packed = "x".repeat(self.rng.random_range(1..TABLE_BYTES));
+            let packed = "x".repeat(self.rng.random_range(1..MAX_TABLE_BYTES));
             self.replicas[leader].propose(Command::ReplaceRoutes { packed, number: 1 }).unwrap();
         }
     }
@@ -156,7 +155,7 @@
     let mut pair = Pair::new(seed);
     while pair.leader().is_none() {
         pair.step();
-        assert!(pair.now < Timestamp::from_millis(60_000), "seed {seed}: nobody leads");
+        assert!(pair.now < Timestamp::from_millis(60_000), "seed {seed}: no leader");
     }
     let leader = pair.leader().unwrap();
     let term = pair.replicas[leader].term();
@@ -174,7 +173,7 @@
 }
 
 #[test]
-fn whatever_is_proposed_arrives_and_the_leader_stays() {
+fn all_proposed_entries_arrive_and_the_leader_stays() {
     for seed in 0..SEEDS {
         run(seed);
     }
