--- a/crates/cherrystream-core/src/choose/server.rs
+++ b/crates/cherrystream-core/src/choose/server.rs
@@ -1,7 +1,7 @@
 //! State that an outbound keeps for one backend server.
 
 use super::refusals::Refusals;
-use crate::pace;
+use crate::slowness;
 use crate::units::Timestamp;
 use cherrystream_schema::messages::{Report, ServerState};
 use std::collections::BTreeMap;
@@ -184,7 +184,7 @@
         });
         if !stale {
             let has_free_slots = report.queued == 0 && report.in_flight < report.slots;
-            if has_free_slots && report.slowness <= pace::USUAL {
+            if has_free_slots && report.slowness <= slowness::NORMAL {
                 self.refusals.on_free_slots();
             }
             self.report = Some(report);
@@ -264,7 +264,7 @@
         let Some(report) = &self.report else { return 1.0 };
         let age = now.since(self.report_at).as_secs_f64();
         let decay = (-age / REPORT_DECAY.as_secs_f64()).exp();
-        let reported = f64::from(report.slowness) / f64::from(pace::USUAL);
+        let reported = f64::from(report.slowness) / f64::from(slowness::NORMAL);
         1.0 + (reported - 1.0) * decay
     }
 
--- a/crates/cherrystream-core/src/rollout/mod.rs
+++ b/crates/cherrystream-core/src/rollout/mod.rs
@@ -2,16 +2,16 @@
 //! version, and back if it is worse than the old versions.
 //!
 //! The request of the operator and each step are in the replicated log. The leader of control
-//! decides the steps from counts of the daemons beside the backend servers ([`conductor`],
+//! decides the steps from counts of the daemons beside the backend servers ([`controller`],
 //! [`evaluation`]). Outbounds send the canary the share of requests that the step allows. Inbounds
 //! refuse the rest, and stop admitting requests to the canary when control is silent or most
 //! responses fail ([`guard`]).
 
-pub mod conductor;
+pub mod controller;
+pub mod counts;
 pub mod evaluation;
 pub mod guard;
 pub mod plan;
-pub mod tally;
 
 use crate::shared;
 use cherrystream_schema::messages::{Change, Instance, Rollout, RolloutStage, ServerState, Shared};
@@ -23,11 +23,11 @@
 
 /// The requests that a roll-out allows for a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Exposure {
     /// Not restricted.
-    Any,
+    Unrestricted,
     /// Canary: limited to the current exposure.
-    Trial {
+    Canary {
         /// Thousandths of the requests of the service.
         exposure_milli: u32,
     },
@@ -36,19 +36,19 @@
 }
 
 /// Returns the requests that a roll-out allows for a version.
-pub fn part(rollout: Option<&Rollout>, version: &str) -> Part {
-    let Some(rollout) = rollout else { return Part::Any };
+pub fn exposure(rollout: Option<&Rollout>, version: &str) -> Exposure {
+    let Some(rollout) = rollout else { return Exposure::Unrestricted };
     if version == rollout.version {
         return match rollout.stage {
-            RolloutStage::Trying => Part::Trial { exposure_milli: rollout.exposure_milli },
-            RolloutStage::Moving | RolloutStage::Completed => Part::Any,
-            RolloutStage::RolledBack => Part::Closed,
+            RolloutStage::Trying => Exposure::Canary { exposure_milli: rollout.exposure_milli },
+            RolloutStage::Moving | RolloutStage::Completed => Exposure::Unrestricted,
+            RolloutStage::RolledBack => Exposure::Closed,
         };
     }
     let replaced = matches!(rollout.stage, RolloutStage::Moving | RolloutStage::Completed);
     match contains(&rollout.held_back, version) || replaced && contains(&rollout.old, version) {
-        true => Part::Closed,
-        false => Part::Any,
+        true => Exposure::Closed,
+        false => Exposure::Unrestricted,
     }
 }
 
@@ -60,13 +60,13 @@
 }
 
 /// Returns whether a roll-out is neither completed nor rolled back.
-pub fn is_under_way(rollout: &Rollout) -> bool {
+pub fn is_in_progress(rollout: &Rollout) -> bool {
     matches!(rollout.stage, RolloutStage::Trying | RolloutStage::Moving)
 }
 
 /// Returns whether the last roll-out of a service is neither completed nor rolled back.
-pub fn is_under_way_for(shared: &Shared, service: &str) -> bool {
-    shared.config.rollouts.get(service).is_some_and(is_under_way)
+pub fn is_in_progress_for(shared: &Shared, service: &str) -> bool {
+    shared.config.rollouts.get(service).is_some_and(is_in_progress)
 }
 
 fn contains(sorted: &[String], version: &str) -> bool {
@@ -75,7 +75,7 @@
 
 /// A request of an operator to start a roll-out.
 #[derive(Clone, Copy, Debug)]
-pub struct Order<'a> {
+pub struct StartRequest<'a> {
     /// Service that is rolled out.
     pub service: &'a str,
     /// Canary version.
@@ -88,53 +88,55 @@
 
 /// Relation of a request to the last roll-out of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Meets {
+pub enum Relation {
     /// No conflict: the request starts a roll-out.
-    Nothing,
+    Unrelated,
     /// The request repeats the one that started it.
-    Itself,
+    Repeated,
     /// Another roll-out is in progress.
-    Another,
+    Conflicting,
 }
 
-impl Order<'_> {
+impl StartRequest<'_> {
     /// Returns how the request relates to the last roll-out of the service.
-    pub fn meets(&self, shared: &Shared) -> Meets {
-        let Some(known) = shared.config.rollouts.get(self.service) else { return Meets::Nothing };
+    pub fn relation(&self, shared: &Shared) -> Relation {
+        let Some(known) = shared.config.rollouts.get(self.service) else {
+            return Relation::Unrelated;
+        };
         let same = known.version == self.version && known.within_ms == self.within_ms;
         let late = known.started_at_ms + known.within_ms + RETRY_WINDOW_MS;
         match known.stage {
-            RolloutStage::Trying | RolloutStage::Moving if !same => Meets::Another,
-            RolloutStage::Trying | RolloutStage::Moving => Meets::Itself,
-            RolloutStage::Completed if known.version == self.version => Meets::Itself,
-            RolloutStage::RolledBack if same && self.at_ms < late => Meets::Itself,
-            RolloutStage::Completed | RolloutStage::RolledBack => Meets::Nothing,
+            RolloutStage::Trying | RolloutStage::Moving if !same => Relation::Conflicting,
+            RolloutStage::Trying | RolloutStage::Moving => Relation::Repeated,
+            RolloutStage::Completed if known.version == self.version => Relation::Repeated,
+            RolloutStage::RolledBack if same && self.at_ms < late => Relation::Repeated,
+            RolloutStage::Completed | RolloutStage::RolledBack => Relation::Unrelated,
         }
     }
 }
 
 /// Starts a roll-out. A repeated or conflicting request changes nothing.
-pub(crate) fn start(shared: &mut Shared, order: &Order<'_>) {
-    if order.meets(shared) != Meets::Nothing {
+pub(crate) fn start(shared: &mut Shared, request: &StartRequest<'_>) {
+    if request.relation(shared) != Relation::Unrelated {
         return;
     }
-    let earlier = shared.config.rollouts.get(order.service);
+    let earlier = shared.config.rollouts.get(request.service);
     let mut held_back: BTreeSet<String> = earlier.map(versions_held_back_after).unwrap_or_default();
-    held_back.remove(order.version);
-    let others = |i: &&Instance| i.version != order.version && !held_back.contains(&i.version);
+    held_back.remove(request.version);
+    let others = |i: &&Instance| i.version != request.version && !held_back.contains(&i.version);
     let old: BTreeSet<String> =
-        live(shared, order.service).filter(others).map(|i| i.version.clone()).collect();
+        live_instances(shared, request.service).filter(others).map(|i| i.version.clone()).collect();
     let rollout = Rollout {
-        version: order.version.into(),
+        version: request.version.into(),
         old: old.into_iter().filter(|version| !version.is_empty()).collect(),
         held_back: held_back.into_iter().collect(),
-        within_ms: order.within_ms,
-        started_at_ms: order.at_ms,
+        within_ms: request.within_ms,
+        started_at_ms: request.at_ms,
         stage: RolloutStage::Trying,
         exposure_milli: 0,
         reason: String::new(),
     };
-    shared.config.rollouts.insert(order.service.into(), rollout);
+    shared.config.rollouts.insert(request.service.into(), rollout);
 }
 
 /// Returns the versions that get no requests after a roll-out.
@@ -148,7 +150,7 @@
 
 /// Rolls back a roll-out that is in progress.
 pub(crate) fn stop(shared: &mut Shared, service: &str) {
-    if let Some(rollout) = shared.config.rollouts.get_mut(service).filter(|r| is_under_way(r)) {
+    if let Some(rollout) = shared.config.rollouts.get_mut(service).filter(|r| is_in_progress(r)) {
         rollout.stage = RolloutStage::RolledBack;
         rollout.exposure_milli = 0;
         rollout.reason = "stopped by an operator".into();
@@ -164,7 +166,7 @@
     };
     let meant = |r: &&mut Rollout| r.version == *version && r.started_at_ms == *started_at_ms;
     let known = shared.config.rollouts.get_mut(service).filter(meant);
-    let Some(rollout) = known.filter(|rollout| is_under_way(rollout)) else { return };
+    let Some(rollout) = known.filter(|rollout| is_in_progress(rollout)) else { return };
     // Old backend servers stop once the roll-out is completed, so it cannot be reverted. Nor does a
     // step lead from moving back to trying.
     if rollout.stage == RolloutStage::Moving && *stage == RolloutStage::Trying {
@@ -176,7 +178,7 @@
 }
 
 /// Handles a new instance: a replaced version that is started again gets requests again.
-pub(crate) fn on_new_run(shared: &mut Shared, instance: &Instance) {
+pub(crate) fn on_new_instance(shared: &mut Shared, instance: &Instance) {
     let completed = |r: &&mut Rollout| r.stage == RolloutStage::Completed;
     if let Some(rollout) = shared.config.rollouts.get_mut(&instance.service).filter(completed) {
         rollout.old.retain(|version| *version != instance.version);
@@ -184,14 +186,17 @@
 }
 
 /// Returns the live instances of a service, without those on hosts taken out of service.
-pub fn live<'a>(shared: &'a Shared, service: &'a str) -> impl Iterator<Item = &'a Instance> {
+pub fn live_instances<'a>(
+    shared: &'a Shared,
+    service: &'a str,
+) -> impl Iterator<Item = &'a Instance> {
     let is_live = move |i: &Instance| i.state == ServerState::Live && i.service == service;
     let here = shared.instances.iter().filter(move |(_, record)| is_live(&record.instance));
     here.filter(|(host, _)| !shared::is_out(shared, host)).map(|(_, record)| &record.instance)
 }
 
 /// Returns whether a service is configured.
-pub fn knows_service(shared: &Shared, service: &str) -> bool {
+pub fn has_service(shared: &Shared, service: &str) -> bool {
     let routed = shared.routes.as_ref().is_some_and(|table| table.services.contains_key(service));
     routed || shared.config.services.contains_key(service)
 }
--- a/crates/cherrystream-core/src/routes.rs
+++ b/crates/cherrystream-core/src/routes.rs
@@ -201,7 +201,7 @@
     /// Returns whether the index was built from the table with a number and from an equal
     /// configuration.
     pub fn is_of(&self, number: u64, config: &Config) -> bool {
-        self.number == number && self.workspaces.is_of(config)
+        self.number == number && self.workspaces.is_built_from(config)
     }
 
     /// Returns the number of the table, or 0 without a table.
--- a/crates/cherrystream-core/src/state/mod.rs
+++ b/crates/cherrystream-core/src/state/mod.rs
@@ -3,7 +3,7 @@
 mod changes;
 mod plans;
 
-pub use changes::Step;
+pub use changes::UpdateKind;
 
 use crate::errors::Result;
 use crate::ledger::Ledger;
@@ -28,40 +28,40 @@
     /// The reply to a claim.
     Claimed(ClaimReply),
     /// The number of the current route table.
-    RoutesHeld(u64),
+    CurrentRoutes(u64),
     /// The patch was discarded: it is based on another route table than the current one, which has
     /// this number.
-    RoutesMoved(u64),
+    RouteConflict(u64),
 }
 
-/// Unpacked payload of a command.
+/// Payload payload of a command.
 #[derive(Clone, Debug)]
-pub enum Unpacked {
+pub enum Payload {
     /// No payload, or a malformed one.
     Nothing,
     /// A whole route table.
-    Order(Box<RouteOrder>),
+    Table(Box<RouteOrder>),
     /// A patch to the previous route table.
     Patch(Box<RoutePatch>),
 }
 
-impl Unpacked {
+impl Payload {
     /// Unpacks the payload of a command.
-    pub fn of(command: &Command) -> Unpacked {
+    pub fn unpack(command: &Command) -> Payload {
         let unpacked = match command {
             Command::ReplaceRoutes { packed, .. } => {
-                routes::unpack(packed).map(|order| Unpacked::Order(Box::new(order)))
+                routes::unpack(packed).map(|order| Payload::Table(Box::new(order)))
             }
             Command::PatchRoutes { packed, .. } => {
-                routes::unpack(packed).map(|patch| Unpacked::Patch(Box::new(patch)))
+                routes::unpack(packed).map(|patch| Payload::Patch(Box::new(patch)))
             }
             _ => None,
         };
-        unpacked.unwrap_or(Unpacked::Nothing)
+        unpacked.unwrap_or(Payload::Nothing)
     }
 
     /// Returns whether a command has a packed payload.
-    pub fn is_needed(command: &Command) -> bool {
+    pub fn is_packed(command: &Command) -> bool {
         matches!(command, Command::ReplaceRoutes { .. } | Command::PatchRoutes { .. })
     }
 }
@@ -111,11 +111,11 @@
 impl ControlState {
     /// Applies a committed entry.
     pub fn apply(&mut self, entry: &Entry) -> Applied {
-        self.apply_unpacked(entry, Unpacked::of(&entry.command))
+        self.apply_unpacked(entry, Payload::unpack(&entry.command))
     }
 
     /// Applies a committed entry whose payload is already unpacked.
-    pub fn apply_unpacked(&mut self, entry: &Entry, unpacked: Unpacked) -> Applied {
+    pub fn apply_unpacked(&mut self, entry: &Entry, unpacked: Payload) -> Applied {
         let at = Revision { term: entry.term, index: entry.index };
         match &entry.command {
             Command::Found { .. } | Command::ReplaceDisk { .. } | Command::Noop { .. } => {}
@@ -137,10 +137,10 @@
             Command::ReplaceRoutes { .. } => {
                 // A proposed payload is always well-formed; a malformed one would be ignored.
                 let number = match unpacked {
-                    Unpacked::Order(order) => self.replace_routes(&order, at),
+                    Payload::Table(order) => self.replace_routes(&order, at),
                     _ => self.route_number(),
                 };
-                return Applied::RoutesHeld(number);
+                return Applied::CurrentRoutes(number);
             }
             Command::PatchRoutes { base, number, .. } => {
                 return self.patch_routes(*base, *number, unpacked, at);
@@ -152,14 +152,14 @@
     /// Skips a route table that a later entry with a higher number replaces. The retained changes
     /// lack it, so they no longer lead from every daemon's revision to the newest one: once the
     /// later table is applied, daemons get the whole state.
-    pub fn pass_over(&mut self, number: u64) -> Applied {
+    pub fn skip_routes(&mut self, number: u64) -> Applied {
         // A table that is not newer than the current one has no effect anyway.
         self.skipped_routes |= number > self.route_number();
-        Applied::RoutesHeld(number.max(self.route_number()))
+        Applied::CurrentRoutes(number.max(self.route_number()))
     }
 
     /// Returns whether a route table was skipped and its replacement is not applied yet.
-    pub fn lags(&self) -> bool {
+    pub fn has_skipped_routes(&self) -> bool {
         self.skipped_routes
     }
 
@@ -181,30 +181,24 @@
 
     /// Applies a patch if it is based on the current route table. The outcome is the same on every
     /// replica, because the current table at a log entry is.
-    fn patch_routes(
-        &mut self,
-        base: u64,
-        number: u64,
-        unpacked: Unpacked,
-        at: Revision,
-    ) -> Applied {
+    fn patch_routes(&mut self, base: u64, number: u64, unpacked: Payload, at: Revision) -> Applied {
         let current = self.route_number();
         if number <= current {
-            return Applied::RoutesHeld(current);
+            return Applied::CurrentRoutes(current);
         }
         if base != current {
-            return Applied::RoutesMoved(current);
+            return Applied::RouteConflict(current);
         }
-        let Unpacked::Patch(patch) = unpacked else {
-            return Applied::RoutesMoved(current);
+        let Payload::Patch(patch) = unpacked else {
+            return Applied::RouteConflict(current);
         };
         let old = self.route_source.as_deref().unwrap_or_default();
         let Some(source) = text_patch::apply(old, &patch.source) else {
-            return Applied::RoutesMoved(current);
+            return Applied::RouteConflict(current);
         };
         self.share(&patch.change, at);
         self.route_source = Some(source);
-        Applied::RoutesHeld(number)
+        Applied::CurrentRoutes(number)
     }
 
     /// Returns the number of the current route table; 0 if there is none.
--- a/crates/cherrystream-core/src/suspects/record.rs
+++ b/crates/cherrystream-core/src/suspects/record.rs
@@ -1,17 +1,17 @@
 //! Messages between daemons about suspect requests.
 
-use super::identity::{CallerMark, Fingerprint};
+use super::identity::{CallerFingerprint, Fingerprint};
 use serde::{Deserialize, Serialize};
 
 /// Random identifier of a crash of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct EndId(pub u64);
+pub struct CrashId(pub u64);
 
 /// A crash of a backend server while a request was in flight there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SeenEnd {
+pub struct CrashRecord {
     /// Identifier of the crash.
-    pub id: EndId,
+    pub id: CrashId,
     /// Milliseconds between the crash and the writing of this record. Ages are sent, since the
     /// clocks of hosts differ.
     pub age_ms: u64,
@@ -25,7 +25,7 @@
     /// Fingerprint of the request.
     pub request: Fingerprint,
     /// Caller of the request.
-    pub caller: CallerMark,
+    pub caller: CallerFingerprint,
     /// Incremented whenever the request is cleared; a record of an earlier generation is ignored.
     pub generation: u32,
     /// Whether it is sent to all daemons, or only to those with a backend server of the service.
@@ -33,12 +33,12 @@
     /// Milliseconds between the last change and the writing of this record.
     pub age_ms: u64,
     /// Crashes since the request was last cleared.
-    pub ends: Vec<SeenEnd>,
+    pub ends: Vec<CrashRecord>,
 }
 
 /// The daemons to which a change is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reach {
+pub enum Audience {
     /// Daemons with a backend server of the service.
     Service,
     /// All daemons.
@@ -57,25 +57,27 @@
 
 /// Status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum Status {
     /// No crash is recorded since it was last cleared.
     Clear,
     /// A backend server crashed while it was in flight, possibly by coincidence.
     Watched,
     /// It runs in isolation.
-    Alone,
+    #[serde(rename = "Alone")]
+    Isolated,
     /// It is quarantined.
-    HeldBack,
+    #[serde(rename = "HeldBack")]
+    Quarantined,
 }
 
-impl Standing {
+impl Status {
     /// Returns the value used in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
-            Standing::Clear => "clear",
-            Standing::Watched => "watched",
-            Standing::Alone => "runs-alone",
-            Standing::HeldBack => "held-back",
+            Status::Clear => "clear",
+            Status::Watched => "watched",
+            Status::Isolated => "runs-alone",
+            Status::Quarantined => "held-back",
         }
     }
 }
--- a/crates/cherrystream-core/src/workspaces.rs
+++ b/crates/cherrystream-core/src/workspaces.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 /// Characters of a digest that logs show; collisions among a million keys are unlikely.
-const MARK_CHARACTERS: usize = 12;
+const FINGERPRINT_CHARACTERS: usize = 12;
 /// Number of random bytes in a new key.
 pub const NEW_KEY_BYTES: usize = 32;
 /// Thousandths per request.
@@ -32,10 +32,10 @@
 
     /// Returns the beginning of its digest, which distinguishes keys in logs without revealing
     /// them.
-    pub fn mark(&self) -> String {
-        let mut mark = digest(&self.0);
-        mark.truncate(MARK_CHARACTERS);
-        mark
+    pub fn fingerprint(&self) -> String {
+        let mut fingerprint = digest(&self.0);
+        fingerprint.truncate(FINGERPRINT_CHARACTERS);
+        fingerprint
     }
 }
 
@@ -119,7 +119,7 @@
     }
 
     /// Returns whether a configuration has the same workspaces as the one the index was built from.
-    pub fn is_of(&self, config: &Config) -> bool {
+    pub fn is_built_from(&self, config: &Config) -> bool {
         self.config_source.0 == config.needs_key && self.config_source.1 == config.workspaces
     }
 
@@ -134,13 +134,13 @@
     }
 
     /// Returns the workspace that a key belongs to.
-    pub fn holder(&self, key: &ApiKey) -> Option<&Arc<NamedWorkspace>> {
+    pub fn workspace_for_key(&self, key: &ApiKey) -> Option<&Arc<NamedWorkspace>> {
         self.by_digest.get(&digest(&key.0))
     }
 }
 
 /// Describes the priority and the quota of a workspace to operators.
-pub fn terms(priority: Option<u32>, rate_milli_per_s: u64, burst_milli: u64) -> String {
+pub fn describe_limits(priority: Option<u32>, rate_milli_per_s: u64, burst_milli: u64) -> String {
     let priority = match priority {
         Some(priority) => format!("priority {priority}"),
         None => "the priority of its requests' routes".into(),
--- a/crates/cherrystream-core/tests/decisions.rs
+++ b/crates/cherrystream-core/tests/decisions.rs
@@ -4,7 +4,7 @@
 
 use cherrystream_core::admission::{self, Admission, Arrival, Ticket};
 use cherrystream_core::choose::{self, Distance, ServerId, Table};
-use cherrystream_core::measuring::{Check, Health, MeasuringBudget};
+use cherrystream_core::health::{Check, Health, ProbeBudget};
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::retry::{self, Allowance, Failed, RetryBudget};
 use cherrystream_schema::messages::{Report, ServerState};
@@ -26,12 +26,12 @@
     let mut admission = Admission::new(opts);
     let mut s = Session::default();
     let arrival = |weight, deadline| Arrival {
-        called: false,
+        nested: false,
         weight,
         deadline: ms(deadline),
         selective: false,
         good_until: None,
-        usual: None,
+        typical_time: None,
     };
     s.event("first", admission.arrive(ms(0), arrival(1, 1_000)));
     s.event("second", admission.arrive(ms(1), arrival(1, 1_000)));
@@ -205,16 +205,16 @@
 #[test]
 fn measuring_session() {
     let mut s = Session::default();
-    let mut budget = MeasuringBudget::new(3);
+    let mut budget = ProbeBudget::new(3);
     for at in [0, 100, 200, 300, 999, 1_000, 1_050, 1_100, 1_150] {
         s.event(&format!("at {at} ms"), budget.try_spend(ms(at)));
     }
     let mut health = Health::default();
     s.event("a check fails", health.on_check(Check::Failed));
-    s.event("the next succeeds", health.on_check(Check::Said(ServerState::Live)));
+    s.event("the next succeeds", health.on_check(Check::Reported(ServerState::Live)));
     s.event("a check fails", health.on_check(Check::Failed));
     s.event("a second check in a row fails", health.on_check(Check::Failed));
-    s.event("the backend server starts", health.on_check(Check::Said(ServerState::Starting)));
-    s.event("the backend server drains", health.on_check(Check::Said(ServerState::Draining)));
+    s.event("the backend server starts", health.on_check(Check::Reported(ServerState::Starting)));
+    s.event("the backend server drains", health.on_check(Check::Reported(ServerState::Draining)));
     insta::assert_snapshot!(s.0);
 }
--- a/crates/cherrystream-core/tests/fresh_words.rs
+++ b/crates/cherrystream-core/tests/slowness_probes.rs
@@ -4,7 +4,7 @@
 //! moment, for 300 ms each time. A request is offered to up to four of them as selective, then to
 //! one more as not selective.
 
-use cherrystream_core::admission::{Admission, Arrival, Options, Ticket, Verdict};
+use cherrystream_core::admission::{Admission, Arrival, Decision, Options, Ticket};
 use cherrystream_core::units::Timestamp;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -77,7 +77,7 @@
             let done: Vec<(Timestamp, Ticket)> =
                 server.in_flight.extract_if(.., |(ends, _)| *ends <= now).collect();
             for (_, ticket) in done {
-                server.admission.on_pace(now, server.slowness);
+                server.admission.on_slowness(now, server.slowness);
                 server.admission.finish(now, ticket, true);
             }
         }
@@ -87,12 +87,12 @@
         for offer in 0..=MAX_SELECTIVE_OFFERS {
             let chosen = self.rng.random_range(0..self.servers.len());
             let arrival = Arrival {
-                called: false,
+                nested: false,
                 weight: 1,
                 deadline: self.now + GOOD_FOR / 5,
                 selective: offer < MAX_SELECTIVE_OFFERS,
                 good_until: Some(self.now + GOOD_FOR),
-                usual: Some(TYPICAL),
+                typical_time: Some(TYPICAL),
             };
             if self.offer(chosen, arrival) {
                 return;
@@ -104,18 +104,18 @@
     fn offer(&mut self, chosen: usize, arrival: Arrival) -> bool {
         let server = &mut self.servers[chosen];
         let mut now = self.now;
-        if self.probes && server.admission.wants_pace_first(now, &arrival) {
+        if self.probes && server.admission.needs_slowness_first(now, &arrival) {
             self.counts.probed += 1;
             now = now + PROBE_TIME;
-            server.admission.on_pace(now, server.slowness);
+            server.admission.on_slowness(now, server.slowness);
         }
         let ticket = match server.admission.arrive(now, arrival).0 {
-            Verdict::Run(ticket) => ticket,
-            Verdict::Wait(ticket) => {
+            Decision::Run(ticket) => ticket,
+            Decision::Wait(ticket) => {
                 server.admission.leave_queue(now, ticket);
                 return false;
             }
-            Verdict::Refuse(_) => return false,
+            Decision::Refuse(_) => return false,
         };
         self.counts.served += 1;
         self.counts.started_slow += u32::from(server.slowness > 100);
@@ -160,23 +160,26 @@
     let admission = &mut simulation.servers[0].admission;
     let now = Timestamp::default() + Duration::from_secs(1);
     let arrival = |now: Timestamp| Arrival {
-        called: false,
+        nested: false,
         weight: 1,
         deadline: now + GOOD_FOR,
         selective: true,
         good_until: Some(now + GOOD_FOR),
-        usual: Some(TYPICAL),
+        typical_time: Some(TYPICAL),
     };
-    assert!(!admission.wants_pace_first(now, &arrival(now)), "it has never reported its slowness");
-    admission.on_pace(now, 400);
-    assert!(!admission.wants_pace_first(now, &arrival(now)), "the report is fresh");
+    assert!(
+        !admission.needs_slowness_first(now, &arrival(now)),
+        "it has never reported its slowness"
+    );
+    admission.on_slowness(now, 400);
+    assert!(!admission.needs_slowness_first(now, &arrival(now)), "the report is fresh");
     let later = now + Duration::from_millis(100);
-    assert!(admission.wants_pace_first(later, &arrival(later)));
-    admission.on_no_pace(later);
+    assert!(admission.needs_slowness_first(later, &arrival(later)));
+    admission.on_slowness_timeout(later);
     let soon = later + Duration::from_millis(900);
-    assert!(!admission.wants_pace_first(soon, &arrival(soon)));
+    assert!(!admission.needs_slowness_first(soon, &arrival(soon)));
     let again = later + Duration::from_millis(1_000);
-    assert!(admission.wants_pace_first(again, &arrival(again)));
+    assert!(admission.needs_slowness_first(again, &arrival(again)));
 }
 
 #[test]
@@ -187,15 +190,15 @@
     for round in 0..100 {
         now = now + Duration::from_millis(500);
         let arrival = Arrival {
-            called: false,
+            nested: false,
             weight: 1,
             deadline: now + GOOD_FOR,
             selective: true,
             good_until: Some(now + GOOD_FOR),
-            usual: Some(TYPICAL),
+            typical_time: Some(TYPICAL),
         };
         // After ten seconds of reports the peak is known to be low.
-        assert!(round <= 21 || !admission.wants_pace_first(now, &arrival), "round {round}");
-        admission.on_pace(now, 130);
+        assert!(round <= 21 || !admission.needs_slowness_first(now, &arrival), "round {round}");
+        admission.on_slowness(now, 130);
     }
 }
--- a/crates/cherrystream-core/tests/suspects/main.rs
+++ b/crates/cherrystream-core/tests/suspects/main.rs
@@ -6,7 +6,7 @@
 mod world;
 
 use cherrystream_core::suspects::{
-    CallerMark, EndId, Ended, Fingerprint, Identity, Record, Sent, Suspects,
+    CallerFingerprint, Crash, CrashId, Fingerprint, Identity, Record, SentRequest, Suspects,
 };
 use cherrystream_core::units::Timestamp;
 
@@ -15,20 +15,20 @@
 }
 
 fn identity(request: u64, caller: u64) -> Identity {
-    Identity { request: Fingerprint(request), caller: CallerMark(caller) }
+    Identity { request: Fingerprint(request), caller: CallerFingerprint(caller) }
 }
 
-fn sent(request: u64, alone: bool) -> Sent {
-    Sent { identity: identity(request, 1), alone }
+fn sent(request: u64, isolated: bool) -> SentRequest {
+    SentRequest { identity: identity(request, 1), isolated }
 }
 
-fn ended(id: u64, at_work: &[Sent]) -> Ended {
-    Ended { id: EndId(id), at_work: at_work.to_vec() }
+fn crash(id: u64, in_flight: &[SentRequest]) -> Crash {
+    Crash { id: CrashId(id), in_flight: in_flight.to_vec() }
 }
 
 /// Merges the records of another daemon.
 fn merge(table: &mut Suspects, now: Timestamp, records: &[Record]) {
     for record in records {
-        table.on_word(now, record);
+        table.on_record(now, record);
     }
 }
--- a/crates/cherrystream-daemon/src/doors.rs
+++ b/crates/cherrystream-daemon/src/doors.rs
@@ -4,10 +4,10 @@
 use crate::held::Held;
 use crate::metrics::{self, Metrics, ReasonLabel, ServerLabel};
 use cherrystream_core::admission;
-use cherrystream_core::cold_pace::ColdLimits;
-use cherrystream_core::measuring::Check;
+use cherrystream_core::cold_rate_limit::ColdLimits;
+use cherrystream_core::concurrency_limit::{self, Change, ConcurrencyLimit};
+use cherrystream_core::health::Check;
 use cherrystream_core::rollout;
-use cherrystream_core::room::{self, Change, Room};
 use cherrystream_net::clock::Clock;
 use cherrystream_net::interface::{BadReport, Fault, Misreport};
 use cherrystream_net::pool::Pool;
@@ -141,9 +141,9 @@
         let earlier = slot.replace(Beside { door: door.clone(), born_ms: word.born_ms });
         drop(slot);
         if let Some(earlier) = earlier.filter(|b| b.door.id == door.id && !b.is_for(word)) {
-            earlier.door.on_check(Check::Said(ServerState::Down));
+            earlier.door.on_check(Check::Reported(ServerState::Down));
         }
-        door.on_check(Check::Said(word.state));
+        door.on_check(Check::Reported(word.state));
     }
 
     fn open_beside(&self, word: &Instance, is_new: bool, earlier: Option<&Door>) -> Arc<Door> {
@@ -190,7 +190,7 @@
     fn follow_rollouts(&self, held: &Held) {
         let Some(door) = self.instance() else { return };
         let known = held.shared.config.rollouts.get(&*door.id.service);
-        let under_way = known.filter(|rollout| rollout::is_under_way(rollout));
+        let under_way = known.filter(|rollout| rollout::is_in_progress(rollout));
         door.follow_rollout(under_way.map(|rollout| rollout.started_at_ms));
     }
 
@@ -260,13 +260,17 @@
         let learns = match self.opts.room {
             RoomKind::Fixed => false,
             RoomKind::Learned => true,
-            RoomKind::LearnedIfRounded => room::loses_by_rounding(opts.slots, opts.share),
+            RoomKind::LearnedIfRounded => {
+                concurrency_limit::loses_by_rounding(opts.slots, opts.share)
+            }
         };
         if !learns {
             return;
         }
         let known = predecessor.filter(|old| old.id.service == door.id.service);
-        let room = known.and_then(Door::room).unwrap_or_else(|| Room::new(opts.slots, opts.share));
+        let room = known
+            .and_then(Door::room)
+            .unwrap_or_else(|| ConcurrencyLimit::new(opts.slots, opts.share));
         door.learn_room(room.with_slots(opts.slots, opts.share));
     }
 
--- a/crates/cherrystream-daemon/src/measure.rs
+++ b/crates/cherrystream-daemon/src/measure.rs
@@ -3,7 +3,7 @@
 use crate::door::Door;
 use crate::inbound::Inbound;
 use crate::metrics::{Metrics, ServerLabel};
-use cherrystream_core::measuring::Check;
+use cherrystream_core::health::Check;
 use cherrystream_net::body::{self, Body, Start};
 use cherrystream_net::clock::Clock;
 use cherrystream_net::pool::{NoAnswer, Pool};
@@ -84,7 +84,7 @@
     m.metrics.measuring.get_or_create(&ServerLabel { server: door.id.name.to_string() }).inc();
     let asked = tokio::time::timeout(CHECK_TIMEOUT, ask(&door.backend)).await;
     let check = match asked {
-        Ok(Ok(state)) => Check::Said(state),
+        Ok(Ok(state)) => Check::Reported(state),
         _ => Check::Failed,
     };
     door.on_check(check);
--- a/crates/cherrystream-daemon/src/outbound/mod.rs
+++ b/crates/cherrystream-daemon/src/outbound/mod.rs
@@ -25,7 +25,7 @@
 use crate::suspects::SuspectWatch;
 use crate::sync::Newer;
 use cherrystream_core::choose::{Server, Table};
-use cherrystream_core::first_asked::FirstAsked;
+use cherrystream_core::elapsed_time::ElapsedTimeEstimator;
 use cherrystream_core::reasons::{Outcome, Reason};
 use cherrystream_core::retry::{self, RetryBudget};
 use cherrystream_core::routes::RouteIndex;
@@ -111,7 +111,7 @@
     pub(crate) caller_service: Option<Arc<str>>,
     pub(crate) routes: RwLock<Arc<RouteIndex>>,
     /// Patience of callers by kind of request. Taken with no other lock.
-    pub(crate) first_asked: Mutex<FirstAsked>,
+    pub(crate) first_asked: Mutex<ElapsedTimeEstimator>,
     pub(crate) key: Option<Secret>,
     pub(crate) fingerprints: FingerprintKey,
     pub(crate) phases: Phases,
@@ -150,7 +150,7 @@
         let took = now.since(started);
         let reason = result.as_ref().err().map(|refused| refused.reason);
         if reason == Some(Reason::UnknownKey) {
-            summary.key = key.map(|key| key.mark());
+            summary.key = key.map(|key| key.fingerprint());
         }
         self.request_log.finish(now, &summary, reason, took, held.revision);
         self.metrics.call_seconds.observe(took.as_secs_f64());
--- a/crates/cherrystream-daemon/src/quotas.rs
+++ b/crates/cherrystream-daemon/src/quotas.rs
@@ -7,7 +7,8 @@
 use crate::refusal::Refused;
 use cherrystream_core::log_budget::LogBudget;
 use cherrystream_core::quota::{
-    Charge, LeaseBatch, Leases, Member, Members, Over, Policy, Reply, Tolerance, Try, Verdict,
+    Charge, Decision, LeaseBatch, LeaseReply, Leases, Member, Members, OverQuota, Policy,
+    Tolerance, Try,
 };
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::routes::RouteIndex;
@@ -122,7 +123,7 @@
         let began = self.tools.clock.now();
         match self.decide(&workspace.name, quota).await {
             Ok(charge) => {
-                metrics.on_used(&workspace.name, charge.home.is_none());
+                metrics.on_used(&workspace.name, charge.allocator.is_none());
                 Ok(Some(charge))
             }
             Err(over) => {
@@ -133,7 +134,11 @@
         }
     }
 
-    async fn decide(self: &Arc<Self>, workspace: &Arc<str>, quota: Quota) -> Result<Charge, Over> {
+    async fn decide(
+        self: &Arc<Self>,
+        workspace: &Arc<str>,
+        quota: Quota,
+    ) -> Result<Charge, OverQuota> {
         let began = self.tools.clock.now();
         let mut turn = Try::First;
         loop {
@@ -143,16 +148,16 @@
             let now = self.tools.clock.now();
             let verdict = self.policy.lock().admit(now, workspace, quota, turn);
             match verdict {
-                Verdict::Run(charge) => return Ok(charge),
-                Verdict::Over(over) => return Err(over),
-                Verdict::Wait => {}
+                Decision::Run(charge) => return Ok(charge),
+                Decision::Refuse(over) => return Err(over),
+                Decision::Wait => {}
             }
             turn = Try::Again;
             self.send_due();
             let left = DECIDED_WITHIN.saturating_sub(now.since(began));
             if tokio::time::timeout(left, answered).await.is_err() {
                 let waited = self.tools.clock.now().since(began);
-                return Err(Over {
+                return Err(OverQuota {
                     retry_after: DECIDED_WITHIN,
                     answer_age: waited,
                     out_of_reach: true,
@@ -203,11 +208,11 @@
         {
             log::info!("quota: home={home} outcome=no-answer lines_dropped={dropped}");
         }
-        self.policy.lock().replied(now, sent, &home, &batch, reply.as_ref());
+        self.policy.lock().on_reply(now, sent, &home, &batch, reply.as_ref());
         self.answered.notify_waiters();
     }
 
-    async fn ask(&self, home: &Arc<str>, batch: &LeaseBatch) -> Option<Reply> {
+    async fn ask(&self, home: &Arc<str>, batch: &LeaseBatch) -> Option<LeaseReply> {
         let held = self.tools.held.get();
         let address = &held.shared.hosts.get(&**home)?.peer_address;
         let req = request(address, batch, self.tools.key.as_ref())?;
@@ -222,7 +227,7 @@
         &self,
         workspace: &NamedWorkspace,
         id: Option<&str>,
-        over: &Over,
+        over: &OverQuota,
         began: Timestamp,
     ) {
         let now = self.tools.clock.now();
