--- a/crates/cherrystream-control/src/distribution.rs
+++ b/crates/cherrystream-control/src/distribution.rs
@@ -1,7 +1,7 @@
 //! What a daemon lacks of the shared state: short updates at once, long ones as an offer to fetch them.
 
 use crate::reach::Reach;
-use cherrystream_core::distribution::{Asker, Crossing, Encoded, LIGHT, Library, Way};
+use cherrystream_core::distribution::{Asker, Encoded, FetchScheduler, LIGHT, Library, Way};
 use cherrystream_core::state::{ControlState, UpdateKind};
 use cherrystream_core::units::{Dotted, Revision, Timestamp};
 use cherrystream_net::chunks;
@@ -32,7 +32,7 @@
 pub struct Distribution {
     failure_domain: String,
     library: Mutex<Library>,
-    crossing: Mutex<Crossing>,
+    scheduler: Mutex<FetchScheduler>,
 }
 
 impl Distribution {
@@ -41,7 +41,7 @@
         Distribution {
             failure_domain: failure_domain.into(),
             library: Mutex::new(Library::new(LIBRARY_BYTES)),
-            crossing: Mutex::default(),
+            scheduler: Mutex::default(),
         }
     }
 
@@ -57,11 +57,11 @@
         let step = state.read().update_kind_since(req.held);
         match step {
             UpdateKind::Nothing => {
-                self.crossing.lock().on_done(asker);
+                self.scheduler.lock().on_done(asker);
                 return Lacking::Nothing;
             }
             UpdateKind::Changes { weight } if weight <= LIGHT => {
-                self.crossing.lock().on_done(asker);
+                self.scheduler.lock().on_done(asker);
                 return Lacking::Short(Box::new(state.read().update_since(req.held)));
             }
             UpdateKind::Changes { .. } | UpdateKind::Whole { .. } => {}
@@ -70,7 +70,7 @@
             return Lacking::Nothing;
         }
         if let Some(fetching) = &req.fetching {
-            self.crossing.lock().on_fetching(now, asker, fetching.id);
+            self.scheduler.lock().on_fetching(now, asker, fetching.id);
             if self.goes_on(state, fetching) {
                 return Lacking::Nothing;
             }
@@ -81,7 +81,7 @@
             return Lacking::Nothing;
         }
         let is_there = |host: &str| reach.is_there(now, host, id.to);
-        match self.crossing.lock().way(now, asker, id, is_there) {
+        match self.scheduler.lock().way(now, asker, id, is_there) {
             Way::Here => {
                 let first = encoded.chunk(0, FIRST_CHUNK).map(|data| chunks::encode(0, data));
                 Lacking::Long(Offer { id, first, peers: Vec::new() })
@@ -136,7 +136,7 @@
         let sent = req.offset + data.map_or(0, |data| data.len() as u64);
         let asker = self.asker(&req.host, &req.failure_domain);
         let rest = req.id.bytes.saturating_sub(sent);
-        self.crossing.lock().on_chunk(now, asker, req.id, rest);
+        self.scheduler.lock().on_chunk(now, asker, req.id, rest);
         ChunkReply { chunk }
     }
 
--- a/crates/cherrystream-core/src/distribution/crossing.rs
+++ b/crates/cherrystream-core/src/distribution/fetch_scheduler.rs
@@ -72,13 +72,13 @@
 
 /// Scheduler of the fetches of updates that this replica offers.
 #[derive(Debug, Default)]
-pub struct Crossing {
+pub struct FetchScheduler {
     /// Fetches in progress by host.
     fetches: BTreeMap<String, Fetch>,
     fetched: VecDeque<Fetched>,
 }
 
-impl Crossing {
+impl FetchScheduler {
     /// Decides where a daemon fetches an update. Only hosts for which `is_reachable` returns true
     /// are returned as peers.
     pub fn way(
--- a/crates/cherrystream-core/src/distribution/mod.rs
+++ b/crates/cherrystream-core/src/distribution/mod.rs
@@ -3,19 +3,19 @@
 //! A daemon may need a single change or the whole state, over a slow link. A long update is
 //! [`Encoded`] once and fetched in chunks. A [`Download`] continues over several connections and
 //! replicas, and fails only after a time without progress. Encoded updates are cached in a
-//! [`Library`]. [`Crossing`] lets a few daemons of a failure domain fetch from a remote replica,
+//! [`Library`]. [`FetchScheduler`] lets a few daemons of a failure domain fetch from a remote replica,
 //! and the others from these. [`Gather`] batches changes that are accepted within a short time.
 
-mod crossing;
 mod download;
 mod encoded;
+mod fetch_scheduler;
 mod gather;
 mod library;
 mod weight;
 
-pub use crossing::{Asker, Crossing, Way};
 pub use download::{ChunkFault, Download, Taken};
 pub use encoded::{Encoded, MAX_UPDATE_BYTES, Unreadable};
+pub use fetch_scheduler::{Asker, FetchScheduler, Way};
 pub use gather::Gather;
 pub use library::Library;
 pub use weight::{LIGHT, of_changes, of_state};
--- a/crates/cherrystream-core/tests/distribution.rs
+++ b/crates/cherrystream-core/tests/distribution.rs
@@ -2,7 +2,8 @@
 
 use arbtest::arbtest;
 use cherrystream_core::distribution::{
-    Asker, ChunkFault, Crossing, Download, Encoded, Gather, Library, MAX_UPDATE_BYTES, Taken, Way,
+    Asker, ChunkFault, Download, Encoded, FetchScheduler, Gather, Library, MAX_UPDATE_BYTES, Taken,
+    Way,
 };
 use cherrystream_core::shared;
 use cherrystream_core::state::{ControlState, UpdateKind};
@@ -196,57 +197,63 @@
 }
 
 /// Returns where hosts of a failure domain fetch an update, requested in order at one time.
-fn ways(crossing: &mut Crossing, now: u64, domain: &str, hosts: &[&str], id: StateId) -> Vec<Way> {
-    let ask = |host: &&str| crossing.way(at(now), asker(host, domain), id, |_| true);
+fn ways(
+    scheduler: &mut FetchScheduler,
+    now: u64,
+    domain: &str,
+    hosts: &[&str],
+    id: StateId,
+) -> Vec<Way> {
+    let ask = |host: &&str| scheduler.way(at(now), asker(host, domain), id, |_| true);
     hosts.iter().map(ask).collect()
 }
 
 #[test]
 fn few_daemons_of_a_remote_failure_domain_fetch_from_the_replica() {
-    let (mut crossing, id) = (Crossing::default(), whole(30).id());
-    let far = ways(&mut crossing, 0, "far", &["f1", "f2", "f3"], id);
+    let (mut scheduler, id) = (FetchScheduler::default(), whole(30).id());
+    let far = ways(&mut scheduler, 0, "far", &["f1", "f2", "f3"], id);
     assert_eq!(far, [Way::Here, Way::Here, Way::Later]);
     assert_eq!(
-        ways(&mut crossing, 0, "farther", &["g1"], id),
+        ways(&mut scheduler, 0, "farther", &["g1"], id),
         [Way::Here],
         "the limit is per failure domain"
     );
-    assert_eq!(ways(&mut crossing, 10, "far", &["f1"], id), [Way::Here], "it is already fetching");
+    assert_eq!(ways(&mut scheduler, 10, "far", &["f1"], id), [Way::Here], "it is already fetching");
     let renamed = StateId { to: revision(31), ..id };
     assert_eq!(
-        ways(&mut crossing, 20, "far", &["f4"], renamed),
+        ways(&mut scheduler, 20, "far", &["f4"], renamed),
         [Way::Later],
         "the limit covers all updates"
     );
-    crossing.on_chunk(at(30), asker("f1", "far"), id, 0);
-    let rest = ways(&mut crossing, 40, "far", &["f3", "f5", "f6"], id);
+    scheduler.on_chunk(at(30), asker("f1", "far"), id, 0);
+    let rest = ways(&mut scheduler, 40, "far", &["f3", "f5", "f6"], id);
     let peers = Way::Peers(vec!["f1".into()]);
     assert_eq!(rest, [peers.clone(), peers.clone(), Way::Later], "two at a time from each peer");
-    crossing.on_done(asker("f3", "far"));
-    assert!(matches!(&ways(&mut crossing, 50, "far", &["f6"], id)[..], [Way::Peers(_)]));
-    assert_eq!(ways(&mut crossing, 60, "near", &["n1"], id), [Way::Here]);
+    scheduler.on_done(asker("f3", "far"));
+    assert!(matches!(&ways(&mut scheduler, 50, "far", &["f6"], id)[..], [Way::Peers(_)]));
+    assert_eq!(ways(&mut scheduler, 60, "near", &["n1"], id), [Way::Here]);
 }
 
 #[test]
 fn silent_and_slow_daemons_do_not_block_others() {
-    let (mut crossing, id) = (Crossing::default(), whole(30).id());
-    ways(&mut crossing, 0, "far", &["f1", "f2"], id);
-    crossing.on_chunk(at(900), asker("f1", "far"), id, 100);
-    assert_eq!(ways(&mut crossing, 950, "far", &["f3"], id), [Way::Later]);
-    assert_eq!(ways(&mut crossing, 1_100, "far", &["f3"], id), [Way::Here], "f2 is silent");
+    let (mut scheduler, id) = (FetchScheduler::default(), whole(30).id());
+    ways(&mut scheduler, 0, "far", &["f1", "f2"], id);
+    scheduler.on_chunk(at(900), asker("f1", "far"), id, 100);
+    assert_eq!(ways(&mut scheduler, 950, "far", &["f3"], id), [Way::Later]);
+    assert_eq!(ways(&mut scheduler, 1_100, "far", &["f3"], id), [Way::Here], "f2 is silent");
     for step in 2..=8 {
-        crossing.on_chunk(at(step * 500), asker("f1", "far"), id, 100);
-        crossing.on_chunk(at(step * 500), asker("f3", "far"), id, 100);
+        scheduler.on_chunk(at(step * 500), asker("f1", "far"), id, 100);
+        scheduler.on_chunk(at(step * 500), asker("f3", "far"), id, 100);
     }
-    assert_eq!(ways(&mut crossing, 4_100, "far", &["f4"], id), [Way::Here], "f1 is slow");
+    assert_eq!(ways(&mut scheduler, 4_100, "far", &["f4"], id), [Way::Here], "f1 is slow");
 }
 
 #[test]
 fn an_unreachable_peer_is_not_returned() {
-    let (mut crossing, id) = (Crossing::default(), whole(30).id());
-    crossing.way(at(0), asker("f1", "far"), id, |_| true);
-    crossing.on_chunk(at(1), asker("f1", "far"), id, 0);
-    assert_eq!(crossing.way(at(2), asker("f2", "far"), id, |_| false), Way::Here);
+    let (mut scheduler, id) = (FetchScheduler::default(), whole(30).id());
+    scheduler.way(at(0), asker("f1", "far"), id, |_| true);
+    scheduler.on_chunk(at(1), asker("f1", "far"), id, 0);
+    assert_eq!(scheduler.way(at(2), asker("f2", "far"), id, |_| false), Way::Here);
 }
 
 /// Guards against a message to every daemon for each of many registrations.
