--- a/crates/cherrystream-control/src/distribution.rs
+++ b/crates/cherrystream-control/src/distribution.rs
@@ -1,7 +1,9 @@
 //! What a daemon lacks of the shared state: short updates at once, long ones as an offer to fetch them.
 
 use crate::reach::Reach;
-use cherrystream_core::distribution::{Asker, Encoded, FetchScheduler, LIGHT, Library, Way};
+use cherrystream_core::distribution::{
+    Asker, Encoded, FetchScheduler, FetchSource, LIGHT, Library,
+};
 use cherrystream_core::state::{ControlState, UpdateKind};
 use cherrystream_core::units::{Dotted, Revision, Timestamp};
 use cherrystream_net::chunks;
@@ -81,16 +83,16 @@
             return Lacking::Nothing;
         }
         let is_there = |host: &str| reach.is_there(now, host, id.to);
-        match self.scheduler.lock().way(now, asker, id, is_there) {
-            Way::Here => {
+        match self.scheduler.lock().source(now, asker, id, is_there) {
+            FetchSource::Replica => {
                 let first = encoded.chunk(0, FIRST_CHUNK).map(|data| chunks::encode(0, data));
                 Lacking::Long(Offer { id, first, peers: Vec::new() })
             }
-            Way::Peers(hosts) => {
+            FetchSource::Peers(hosts) => {
                 let peers = hosts.iter().filter_map(|host| reach.peer_address(host)).collect();
                 Lacking::Long(Offer { id, first: None, peers })
             }
-            Way::Later => Lacking::Later,
+            FetchSource::Later => Lacking::Later,
         }
     }
 
--- a/crates/cherrystream-core/src/distribution/fetch_scheduler.rs
+++ b/crates/cherrystream-core/src/distribution/fetch_scheduler.rs
@@ -39,9 +39,9 @@
 
 /// Where a daemon fetches an update.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum FetchSource {
     /// From this replica.
-    Here,
+    Replica,
     /// From the daemons of these hosts.
     Peers(Vec<String>),
     /// Nowhere yet. The daemon retries when a peer may have the update.
@@ -81,13 +81,13 @@
 impl FetchScheduler {
     /// Decides where a daemon fetches an update. Only hosts for which `is_reachable` returns true
     /// are returned as peers.
-    pub fn way(
+    pub fn source(
         &mut self,
         now: Timestamp,
         asker: Asker,
         id: StateId,
         is_reachable: impl Fn(&str) -> bool,
-    ) -> Way {
+    ) -> FetchSource {
         self.fetches.retain(|_, fetch| now.since(fetch.last_seen) < SILENCE_TIMEOUT);
         let limit = if asker.near { MAX_LOCAL_FETCHES } else { MAX_REMOTE_FETCHES };
         let own = self.fetches.get(asker.host).filter(|fetch| fetch.id == id).map(|f| f.from);
@@ -97,13 +97,13 @@
         let prefers_replica = asker.near || holders.is_empty();
         if own == Some(From::Replica) || replica_free && prefers_replica {
             self.record(now, asker, id, From::Replica);
-            return Way::Here;
+            return FetchSource::Replica;
         }
         if holders.is_empty() || !peer_free && own.is_none() {
-            return Way::Later;
+            return FetchSource::Later;
         }
         self.record(now, asker, id, From::Peer);
-        Way::Peers(select_peers(asker.host, &holders))
+        FetchSource::Peers(select_peers(asker.host, &holders))
     }
 
     /// Records that a daemon requested a chunk after which `rest` bytes remain.
--- a/crates/cherrystream-core/tests/distribution.rs
+++ b/crates/cherrystream-core/tests/distribution.rs
@@ -2,8 +2,8 @@
 
 use arbtest::arbtest;
 use cherrystream_core::distribution::{
-    Asker, ChunkFault, Download, Encoded, FetchScheduler, Gather, Library, MAX_UPDATE_BYTES, Taken,
-    Way,
+    Asker, ChunkFault, Download, Encoded, FetchScheduler, FetchSource, Gather, Library,
+    MAX_UPDATE_BYTES, Taken,
 };
 use cherrystream_core::shared;
 use cherrystream_core::state::{ControlState, UpdateKind};
@@ -197,63 +197,82 @@
 }
 
 /// Returns where hosts of a failure domain fetch an update, requested in order at one time.
-fn ways(
+fn sources(
     scheduler: &mut FetchScheduler,
     now: u64,
     domain: &str,
     hosts: &[&str],
     id: StateId,
-) -> Vec<Way> {
-    let ask = |host: &&str| scheduler.way(at(now), asker(host, domain), id, |_| true);
+) -> Vec<FetchSource> {
+    let ask = |host: &&str| scheduler.source(at(now), asker(host, domain), id, |_| true);
     hosts.iter().map(ask).collect()
 }
 
 #[test]
 fn few_daemons_of_a_remote_failure_domain_fetch_from_the_replica() {
     let (mut scheduler, id) = (FetchScheduler::default(), whole(30).id());
-    let far = ways(&mut scheduler, 0, "far", &["f1", "f2", "f3"], id);
-    assert_eq!(far, [Way::Here, Way::Here, Way::Later]);
+    let far = sources(&mut scheduler, 0, "far", &["f1", "f2", "f3"], id);
+    assert_eq!(far, [FetchSource::Replica, FetchSource::Replica, FetchSource::Later]);
     assert_eq!(
-        ways(&mut scheduler, 0, "farther", &["g1"], id),
-        [Way::Here],
+        sources(&mut scheduler, 0, "farther", &["g1"], id),
+        [FetchSource::Replica],
         "the limit is per failure domain"
     );
-    assert_eq!(ways(&mut scheduler, 10, "far", &["f1"], id), [Way::Here], "it is already fetching");
+    assert_eq!(
+        sources(&mut scheduler, 10, "far", &["f1"], id),
+        [FetchSource::Replica],
+        "it is already fetching"
+    );
     let renamed = StateId { to: revision(31), ..id };
     assert_eq!(
-        ways(&mut scheduler, 20, "far", &["f4"], renamed),
-        [Way::Later],
+        sources(&mut scheduler, 20, "far", &["f4"], renamed),
+        [FetchSource::Later],
         "the limit covers all updates"
     );
     scheduler.on_chunk(at(30), asker("f1", "far"), id, 0);
-    let rest = ways(&mut scheduler, 40, "far", &["f3", "f5", "f6"], id);
-    let peers = Way::Peers(vec!["f1".into()]);
-    assert_eq!(rest, [peers.clone(), peers.clone(), Way::Later], "two at a time from each peer");
+    let rest = sources(&mut scheduler, 40, "far", &["f3", "f5", "f6"], id);
+    let peers = FetchSource::Peers(vec!["f1".into()]);
+    assert_eq!(
+        rest,
+        [peers.clone(), peers.clone(), FetchSource::Later],
+        "two at a time from each peer"
+    );
     scheduler.on_done(asker("f3", "far"));
-    assert!(matches!(&ways(&mut scheduler, 50, "far", &["f6"], id)[..], [Way::Peers(_)]));
-    assert_eq!(ways(&mut scheduler, 60, "near", &["n1"], id), [Way::Here]);
+    assert!(matches!(
+        &sources(&mut scheduler, 50, "far", &["f6"], id)[..],
+        [FetchSource::Peers(_)]
+    ));
+    assert_eq!(sources(&mut scheduler, 60, "near", &["n1"], id), [FetchSource::Replica]);
 }
 
 #[test]
 fn silent_and_slow_daemons_do_not_block_others() {
     let (mut scheduler, id) = (FetchScheduler::default(), whole(30).id());
-    ways(&mut scheduler, 0, "far", &["f1", "f2"], id);
+    sources(&mut scheduler, 0, "far", &["f1", "f2"], id);
     scheduler.on_chunk(at(900), asker("f1", "far"), id, 100);
-    assert_eq!(ways(&mut scheduler, 950, "far", &["f3"], id), [Way::Later]);
-    assert_eq!(ways(&mut scheduler, 1_100, "far", &["f3"], id), [Way::Here], "f2 is silent");
+    assert_eq!(sources(&mut scheduler, 950, "far", &["f3"], id), [FetchSource::Later]);
+    assert_eq!(
+        sources(&mut scheduler, 1_100, "far", &["f3"], id),
+        [FetchSource::Replica],
+        "f2 is silent"
+    );
     for step in 2..=8 {
         scheduler.on_chunk(at(step * 500), asker("f1", "far"), id, 100);
         scheduler.on_chunk(at(step * 500), asker("f3", "far"), id, 100);
     }
-    assert_eq!(ways(&mut scheduler, 4_100, "far", &["f4"], id), [Way::Here], "f1 is slow");
+    assert_eq!(
+        sources(&mut scheduler, 4_100, "far", &["f4"], id),
+        [FetchSource::Replica],
+        "f1 is slow"
+    );
 }
 
 #[test]
 fn an_unreachable_peer_is_not_returned() {
     let (mut scheduler, id) = (FetchScheduler::default(), whole(30).id());
-    scheduler.way(at(0), asker("f1", "far"), id, |_| true);
+    scheduler.source(at(0), asker("f1", "far"), id, |_| true);
     scheduler.on_chunk(at(1), asker("f1", "far"), id, 0);
-    assert_eq!(scheduler.way(at(2), asker("f2", "far"), id, |_| false), Way::Here);
+    assert_eq!(scheduler.source(at(2), asker("f2", "far"), id, |_| false), FetchSource::Replica);
 }
 
 /// Guards against a message to every daemon for each of many registrations.
