--- a/crates/cherrystream-control/src/distribution.rs
+++ b/crates/cherrystream-control/src/distribution.rs
@@ -2,7 +2,7 @@
 
 use crate::reach::Reach;
 use cherrystream_core::distribution::{
-    Asker, Encoded, FetchScheduler, FetchSource, LIGHT, Library,
+    Encoded, FetchScheduler, FetchSource, LIGHT, Library, Requester,
 };
 use cherrystream_core::state::{ControlState, UpdateKind};
 use cherrystream_core::units::{Dotted, Revision, Timestamp};
@@ -55,24 +55,24 @@
         req: &SyncRequest,
         reach: &Reach,
     ) -> Lacking {
-        let asker = self.asker(&req.record.host, &req.record.failure_domain);
+        let requester = self.requester(&req.record.host, &req.record.failure_domain);
         let step = state.read().update_kind_since(req.held);
         match step {
             UpdateKind::Nothing => {
-                self.scheduler.lock().on_done(asker);
+                self.scheduler.lock().on_done(requester);
                 return Lacking::Nothing;
             }
             UpdateKind::Changes { weight } if weight <= LIGHT => {
-                self.scheduler.lock().on_done(asker);
+                self.scheduler.lock().on_done(requester);
                 return Lacking::Short(Box::new(state.read().update_since(req.held)));
             }
             UpdateKind::Changes { .. } | UpdateKind::Whole { .. } => {}
         }
-        if req.looks_in && !asker.near {
+        if req.looks_in && !requester.near {
             return Lacking::Nothing;
         }
         if let Some(fetching) = &req.fetching {
-            self.scheduler.lock().on_fetching(now, asker, fetching.id);
+            self.scheduler.lock().on_fetching(now, requester, fetching.id);
             if self.goes_on(state, fetching) {
                 return Lacking::Nothing;
             }
@@ -83,7 +83,7 @@
             return Lacking::Nothing;
         }
         let is_there = |host: &str| reach.is_there(now, host, id.to);
-        match self.scheduler.lock().source(now, asker, id, is_there) {
+        match self.scheduler.lock().source(now, requester, id, is_there) {
             FetchSource::Replica => {
                 let first = encoded.chunk(0, FIRST_CHUNK).map(|data| chunks::encode(0, data));
                 Lacking::Long(Offer { id, first, peers: Vec::new() })
@@ -136,14 +136,14 @@
         let data = held.and_then(|held| held.chunk(req.offset, chunks::wanted(req.bytes)));
         let chunk: Option<Chunk> = data.map(|data| chunks::encode(req.offset, data));
         let sent = req.offset + data.map_or(0, |data| data.len() as u64);
-        let asker = self.asker(&req.host, &req.failure_domain);
+        let requester = self.requester(&req.host, &req.failure_domain);
         let rest = req.id.bytes.saturating_sub(sent);
-        self.scheduler.lock().on_chunk(now, asker, req.id, rest);
+        self.scheduler.lock().on_chunk(now, requester, req.id, rest);
         ChunkReply { chunk }
     }
 
-    fn asker<'a>(&self, host: &'a str, failure_domain: &'a str) -> Asker<'a> {
-        Asker { host, failure_domain, near: failure_domain == self.failure_domain }
+    fn requester<'a>(&self, host: &'a str, failure_domain: &'a str) -> Requester<'a> {
+        Requester { host, failure_domain, near: failure_domain == self.failure_domain }
     }
 }
 
--- a/crates/cherrystream-core/src/distribution/fetch_scheduler.rs
+++ b/crates/cherrystream-core/src/distribution/fetch_scheduler.rs
@@ -28,7 +28,7 @@
 
 /// Daemon that requests an update.
 #[derive(Clone, Copy, Debug)]
-pub struct Asker<'a> {
+pub struct Requester<'a> {
     /// Name of its host.
     pub host: &'a str,
     /// Failure domain of the host.
@@ -84,53 +84,54 @@
     pub fn source(
         &mut self,
         now: Timestamp,
-        asker: Asker,
+        requester: Requester,
         id: StateId,
         is_reachable: impl Fn(&str) -> bool,
     ) -> FetchSource {
         self.fetches.retain(|_, fetch| now.since(fetch.last_seen) < SILENCE_TIMEOUT);
-        let limit = if asker.near { MAX_LOCAL_FETCHES } else { MAX_REMOTE_FETCHES };
-        let own = self.fetches.get(asker.host).filter(|fetch| fetch.id == id).map(|f| f.from);
-        let holders = self.holders(asker, id, is_reachable);
-        let replica_free = self.count(now, asker, From::Replica) < limit;
-        let peer_free = self.count(now, asker, From::Peer) < holders.len() * MAX_FETCHES_PER_PEER;
-        let prefers_replica = asker.near || holders.is_empty();
+        let limit = if requester.near { MAX_LOCAL_FETCHES } else { MAX_REMOTE_FETCHES };
+        let own = self.fetches.get(requester.host).filter(|fetch| fetch.id == id).map(|f| f.from);
+        let holders = self.holders(requester, id, is_reachable);
+        let replica_free = self.count(now, requester, From::Replica) < limit;
+        let peer_free =
+            self.count(now, requester, From::Peer) < holders.len() * MAX_FETCHES_PER_PEER;
+        let prefers_replica = requester.near || holders.is_empty();
         if own == Some(From::Replica) || replica_free && prefers_replica {
-            self.record(now, asker, id, From::Replica);
+            self.record(now, requester, id, From::Replica);
             return FetchSource::Replica;
         }
         if holders.is_empty() || !peer_free && own.is_none() {
             return FetchSource::Later;
         }
-        self.record(now, asker, id, From::Peer);
-        FetchSource::Peers(select_peers(asker.host, &holders))
+        self.record(now, requester, id, From::Peer);
+        FetchSource::Peers(select_peers(requester.host, &holders))
     }
 
     /// Records that a daemon requested a chunk after which `rest` bytes remain.
-    pub fn on_chunk(&mut self, now: Timestamp, asker: Asker, id: StateId, rest: u64) {
+    pub fn on_chunk(&mut self, now: Timestamp, requester: Requester, id: StateId, rest: u64) {
         match rest {
-            0 => self.on_fetched(asker, id),
-            _ => self.record(now, asker, id, From::Replica),
+            0 => self.on_fetched(requester, id),
+            _ => self.record(now, requester, id, From::Replica),
         }
     }
 
     /// Records that a daemon is still fetching an update.
-    pub fn on_fetching(&mut self, now: Timestamp, asker: Asker, id: StateId) {
-        if let Some(fetch) = self.fetches.get_mut(asker.host).filter(|fetch| fetch.id == id) {
+    pub fn on_fetching(&mut self, now: Timestamp, requester: Requester, id: StateId) {
+        if let Some(fetch) = self.fetches.get_mut(requester.host).filter(|fetch| fetch.id == id) {
             fetch.last_seen = now;
         }
     }
 
     /// Records that a daemon no longer needs a long update.
-    pub fn on_done(&mut self, asker: Asker) {
-        if let Some(fetch) = self.fetches.get(asker.host) {
-            self.on_fetched(asker, fetch.id);
+    pub fn on_done(&mut self, requester: Requester) {
+        if let Some(fetch) = self.fetches.get(requester.host) {
+            self.on_fetched(requester, fetch.id);
         }
     }
 
-    fn on_fetched(&mut self, asker: Asker, id: StateId) {
-        self.fetches.remove(asker.host);
-        let host = (asker.host.to_string(), asker.failure_domain.to_string());
+    fn on_fetched(&mut self, requester: Requester, id: StateId) {
+        self.fetches.remove(requester.host);
+        let host = (requester.host.to_string(), requester.failure_domain.to_string());
         match self.fetched.iter_mut().find(|fetched| fetched.id == id) {
             Some(fetched) if fetched.hosts.contains(&host) => {}
             Some(fetched) => fetched.hosts.push(host),
@@ -146,40 +147,40 @@
     /// Returns the reachable hosts of the daemon's failure domain that have an update.
     fn holders(
         &self,
-        asker: Asker,
+        requester: Requester,
         id: StateId,
         is_reachable: impl Fn(&str) -> bool,
     ) -> Vec<String> {
         let fetched = self.fetched.iter().find(|fetched| fetched.id == id);
         let hosts = fetched.into_iter().flat_map(|fetched| &fetched.hosts);
-        let near = hosts.filter(|(_, domain)| domain == asker.failure_domain);
+        let near = hosts.filter(|(_, domain)| domain == requester.failure_domain);
         near.map(|(host, _)| host.clone()).filter(|host| is_reachable(host)).collect()
     }
 
     /// Returns the number of other daemons of the same failure domain that fetch any update from
     /// the replica or from peers.
-    fn count(&self, now: Timestamp, asker: Asker, from: From) -> usize {
+    fn count(&self, now: Timestamp, requester: Requester, from: From) -> usize {
         let counts = |(host, fetch): &(&String, &Fetch)| {
-            fetch.failure_domain == asker.failure_domain
+            fetch.failure_domain == requester.failure_domain
                 && fetch.from == from
                 && now.since(fetch.since) < SLOW_FETCH
-                && host.as_str() != asker.host
+                && host.as_str() != requester.host
         };
         self.fetches.iter().filter(counts).count()
     }
 
-    fn record(&mut self, now: Timestamp, asker: Asker, id: StateId, from: From) {
-        let known = self.fetches.get(asker.host).filter(|f| f.id == id && f.from == from);
+    fn record(&mut self, now: Timestamp, requester: Requester, id: StateId, from: From) {
+        let known = self.fetches.get(requester.host).filter(|f| f.id == id && f.from == from);
         let since = known.map_or(now, |fetch| fetch.since);
-        let failure_domain = asker.failure_domain.into();
+        let failure_domain = requester.failure_domain.into();
         let fetch = Fetch { id, failure_domain, from, since, last_seen: now };
-        self.fetches.insert(asker.host.into(), fetch);
+        self.fetches.insert(requester.host.into(), fetch);
     }
 }
 
 /// Selects a few hosts, different ones for different daemons.
-fn select_peers(asker: &str, hosts: &[String]) -> Vec<String> {
-    let start = crc32fast::hash(asker.as_bytes()) as usize;
+fn select_peers(requester: &str, hosts: &[String]) -> Vec<String> {
+    let start = crc32fast::hash(requester.as_bytes()) as usize;
     let count = hosts.len().min(MAX_PEERS);
     (0..count).map(|i| hosts[(start + i) % hosts.len()].clone()).collect()
 }
--- a/crates/cherrystream-core/src/distribution/mod.rs
+++ b/crates/cherrystream-core/src/distribution/mod.rs
@@ -15,7 +15,7 @@
 
 pub use download::{ChunkFault, Download, Taken};
 pub use encoded::{Encoded, MAX_UPDATE_BYTES, Unreadable};
-pub use fetch_scheduler::{Asker, FetchScheduler, FetchSource};
+pub use fetch_scheduler::{FetchScheduler, FetchSource, Requester};
 pub use gather::Gather;
 pub use library::Library;
 pub use weight::{LIGHT, of_changes, of_state};
--- a/crates/cherrystream-core/tests/distribution.rs
+++ b/crates/cherrystream-core/tests/distribution.rs
@@ -2,8 +2,8 @@
 
 use arbtest::arbtest;
 use cherrystream_core::distribution::{
-    Asker, ChunkFault, Download, Encoded, FetchScheduler, FetchSource, Gather, Library,
-    MAX_UPDATE_BYTES, Taken,
+    ChunkFault, Download, Encoded, FetchScheduler, FetchSource, Gather, Library, MAX_UPDATE_BYTES,
+    Requester, Taken,
 };
 use cherrystream_core::shared;
 use cherrystream_core::state::{ControlState, UpdateKind};
@@ -192,8 +192,8 @@
     assert_eq!(state.update_kind_since(revision(4_990)), UpdateKind::Changes { weight: 10 });
 }
 
-fn asker<'a>(host: &'a str, failure_domain: &'a str) -> Asker<'a> {
-    Asker { host, failure_domain, near: failure_domain == "near" }
+fn requester<'a>(host: &'a str, failure_domain: &'a str) -> Requester<'a> {
+    Requester { host, failure_domain, near: failure_domain == "near" }
 }
 
 /// Returns where hosts of a failure domain fetch an update, requested in order at one time.
@@ -204,7 +204,7 @@
     hosts: &[&str],
     id: StateId,
 ) -> Vec<FetchSource> {
-    let ask = |host: &&str| scheduler.source(at(now), asker(host, domain), id, |_| true);
+    let ask = |host: &&str| scheduler.source(at(now), requester(host, domain), id, |_| true);
     hosts.iter().map(ask).collect()
 }
 
@@ -229,7 +229,7 @@
         [FetchSource::Later],
         "the limit covers all updates"
     );
-    scheduler.on_chunk(at(30), asker("f1", "far"), id, 0);
+    scheduler.on_chunk(at(30), requester("f1", "far"), id, 0);
     let rest = sources(&mut scheduler, 40, "far", &["f3", "f5", "f6"], id);
     let peers = FetchSource::Peers(vec!["f1".into()]);
     assert_eq!(
@@ -237,7 +237,7 @@
         [peers.clone(), peers.clone(), FetchSource::Later],
         "two at a time from each peer"
     );
-    scheduler.on_done(asker("f3", "far"));
+    scheduler.on_done(requester("f3", "far"));
     assert!(matches!(
         &sources(&mut scheduler, 50, "far", &["f6"], id)[..],
         [FetchSource::Peers(_)]
@@ -249,7 +249,7 @@
 fn silent_and_slow_daemons_do_not_block_others() {
     let (mut scheduler, id) = (FetchScheduler::default(), whole(30).id());
     sources(&mut scheduler, 0, "far", &["f1", "f2"], id);
-    scheduler.on_chunk(at(900), asker("f1", "far"), id, 100);
+    scheduler.on_chunk(at(900), requester("f1", "far"), id, 100);
     assert_eq!(sources(&mut scheduler, 950, "far", &["f3"], id), [FetchSource::Later]);
     assert_eq!(
         sources(&mut scheduler, 1_100, "far", &["f3"], id),
@@ -257,8 +257,8 @@
         "f2 is silent"
     );
     for step in 2..=8 {
-        scheduler.on_chunk(at(step * 500), asker("f1", "far"), id, 100);
-        scheduler.on_chunk(at(step * 500), asker("f3", "far"), id, 100);
+        scheduler.on_chunk(at(step * 500), requester("f1", "far"), id, 100);
+        scheduler.on_chunk(at(step * 500), requester("f3", "far"), id, 100);
     }
     assert_eq!(
         sources(&mut scheduler, 4_100, "far", &["f4"], id),
@@ -270,9 +270,12 @@
 #[test]
 fn an_unreachable_peer_is_not_returned() {
     let (mut scheduler, id) = (FetchScheduler::default(), whole(30).id());
-    scheduler.source(at(0), asker("f1", "far"), id, |_| true);
-    scheduler.on_chunk(at(1), asker("f1", "far"), id, 0);
-    assert_eq!(scheduler.source(at(2), asker("f2", "far"), id, |_| false), FetchSource::Replica);
+    scheduler.source(at(0), requester("f1", "far"), id, |_| true);
+    scheduler.on_chunk(at(1), requester("f1", "far"), id, 0);
+    assert_eq!(
+        scheduler.source(at(2), requester("f2", "far"), id, |_| false),
+        FetchSource::Replica
+    );
 }
 
 /// Guards against a message to every daemon for each of many registrations.
