--- a/crates/cherrystream-control/src/release.rs
+++ b/crates/cherrystream-control/src/release.rs
@@ -1,7 +1,7 @@
 //! Tells the open heartbeats of daemons of changes, those that come together at one moment.
 
 use crate::handle::Handle;
-use cherrystream_core::distribution::Gather;
+use cherrystream_core::distribution::BatchSchedule;
 use cherrystream_core::units::Revision;
 use tokio::sync::watch;
 use tokio::task;
@@ -14,7 +14,7 @@
 }
 
 async fn run(handle: Handle, released: watch::Sender<Revision>) {
-    let mut gather = Gather::default();
+    let mut schedule = BatchSchedule::default();
     let mut standing = handle.standing.clone();
     loop {
         let changed = standing.wait_for(|_| revision(&handle) > *released.borrow());
@@ -22,9 +22,9 @@
             return;
         }
         let now = handle.clock.now();
-        tokio::time::sleep(gather.due(now).since(now)).await;
+        tokio::time::sleep(schedule.due(now).since(now)).await;
         released.send_replace(revision(&handle));
-        gather.on_told(handle.clock.now());
+        schedule.on_sent(handle.clock.now());
     }
 }
 
--- a/crates/cherrystream-core/src/distribution/gather.rs
+++ b/crates/cherrystream-core/src/distribution/batch_schedule.rs
@@ -11,12 +11,12 @@
 
 /// Schedule of the batches of changes.
 #[derive(Debug, Default)]
-pub struct Gather {
+pub struct BatchSchedule {
     /// Time of the last batch.
     last: Option<Timestamp>,
 }
 
-impl Gather {
+impl BatchSchedule {
     /// Returns when to send a change that is accepted now.
     pub fn due(&self, now: Timestamp) -> Timestamp {
         let earliest = self.last.map_or(now, |last| last + MIN_INTERVAL);
@@ -24,7 +24,7 @@
     }
 
     /// Records that a batch is sent now.
-    pub fn on_told(&mut self, now: Timestamp) {
+    pub fn on_sent(&mut self, now: Timestamp) {
         self.last = Some(now);
     }
 }
--- a/crates/cherrystream-core/src/distribution/mod.rs
+++ b/crates/cherrystream-core/src/distribution/mod.rs
@@ -4,18 +4,18 @@
 //! [`Encoded`] once and fetched in chunks. A [`Download`] continues over several connections and
 //! replicas, and fails only after a time without progress. Encoded updates are cached in a
 //! [`Library`]. [`FetchScheduler`] lets a few daemons of a failure domain fetch from a remote replica,
-//! and the others from these. [`Gather`] batches changes that are accepted within a short time.
+//! and the others from these. [`BatchSchedule`] batches changes that are accepted within a short time.
 
+mod batch_schedule;
 mod download;
 mod encoded;
 mod fetch_scheduler;
-mod gather;
 mod library;
 mod weight;
 
+pub use batch_schedule::BatchSchedule;
 pub use download::{ChunkFault, Download, Taken};
 pub use encoded::{Encoded, MAX_UPDATE_BYTES, Unreadable};
 pub use fetch_scheduler::{FetchScheduler, FetchSource, Requester};
-pub use gather::Gather;
 pub use library::Library;
 pub use weight::{LIGHT, of_changes, of_state};
--- a/crates/cherrystream-core/tests/distribution.rs
+++ b/crates/cherrystream-core/tests/distribution.rs
@@ -2,8 +2,8 @@
 
 use arbtest::arbtest;
 use cherrystream_core::distribution::{
-    ChunkFault, Download, Encoded, FetchScheduler, FetchSource, Gather, Library, MAX_UPDATE_BYTES,
-    Requester, Taken,
+    BatchSchedule, ChunkFault, Download, Encoded, FetchScheduler, FetchSource, Library,
+    MAX_UPDATE_BYTES, Requester, Taken,
 };
 use cherrystream_core::shared;
 use cherrystream_core::state::{ControlState, UpdateKind};
@@ -281,14 +281,14 @@
 /// Guards against a message to every daemon for each of many registrations.
 #[test]
 fn changes_within_a_short_time_are_sent_in_batches() {
-    let mut gather = Gather::default();
+    let mut schedule = BatchSchedule::default();
     let start = Timestamp::from_millis(10_000);
-    assert_eq!(gather.due(start), start, "at once after a quiet period");
+    assert_eq!(schedule.due(start), start, "at once after a quiet period");
     let (mut batches, mut due) = (0, None);
     for ms in (0..1_500).step_by(5) {
         let now = start + Duration::from_millis(ms);
-        if now >= *due.get_or_insert_with(|| gather.due(now)) {
-            gather.on_told(now);
+        if now >= *due.get_or_insert_with(|| schedule.due(now)) {
+            schedule.on_sent(now);
             (batches, due) = (batches + 1, None);
         }
     }
