--- a/crates/cherrystream-control/src/distribution.rs
+++ b/crates/cherrystream-control/src/distribution.rs
@@ -2,7 +2,7 @@
 
 use crate::reach::Reach;
 use cherrystream_core::distribution::{
-    Encoded, FetchScheduler, FetchSource, LIGHT, Library, Requester,
+    Encoded, FetchScheduler, FetchSource, LIGHT, Requester, UpdateCache,
 };
 use cherrystream_core::state::{ControlState, UpdateKind};
 use cherrystream_core::units::{Dotted, Revision, Timestamp};
@@ -33,7 +33,7 @@
 /// The encoded updates of this replica, and who fetches them.
 pub struct Distribution {
     failure_domain: String,
-    library: Mutex<Library>,
+    library: Mutex<UpdateCache>,
     scheduler: Mutex<FetchScheduler>,
 }
 
@@ -42,7 +42,7 @@
     pub fn new(failure_domain: &str) -> Distribution {
         Distribution {
             failure_domain: failure_domain.into(),
-            library: Mutex::new(Library::new(LIBRARY_BYTES)),
+            library: Mutex::new(UpdateCache::new(LIBRARY_BYTES)),
             scheduler: Mutex::default(),
         }
     }
--- a/crates/cherrystream-core/src/distribution/library.rs
+++ b/crates/cherrystream-core/src/distribution/update_cache.rs
@@ -10,16 +10,16 @@
 
 /// Cache of encoded updates, least recently used evicted first.
 #[derive(Debug)]
-pub struct Library {
+pub struct UpdateCache {
     max_bytes: u64,
     /// Updates, most recently used first.
     updates: VecDeque<Encoded>,
 }
 
-impl Library {
+impl UpdateCache {
     /// Creates an empty cache that holds up to `max_bytes`, or a single larger update.
-    pub fn new(max_bytes: u64) -> Library {
-        Library { max_bytes, updates: VecDeque::new() }
+    pub fn new(max_bytes: u64) -> UpdateCache {
+        UpdateCache { max_bytes, updates: VecDeque::new() }
     }
 
     /// Adds an update, and evicts the least recently used ones beyond the limits.
--- a/crates/cherrystream-core/tests/distribution.rs
+++ b/crates/cherrystream-core/tests/distribution.rs
@@ -2,8 +2,8 @@
 
 use arbtest::arbtest;
 use cherrystream_core::distribution::{
-    BatchSchedule, ChunkFault, Download, Encoded, FetchScheduler, FetchSource, Library,
-    MAX_UPDATE_BYTES, Requester, Taken,
+    BatchSchedule, ChunkFault, Download, Encoded, FetchScheduler, FetchSource, MAX_UPDATE_BYTES,
+    Requester, Taken, UpdateCache,
 };
 use cherrystream_core::shared;
 use cherrystream_core::state::{ControlState, UpdateKind};
@@ -158,15 +158,15 @@
 #[test]
 fn the_cache_evicts_the_least_recently_used_update() {
     let (first, second, third) = (whole(40), whole(41), change(5, 42));
-    let mut library = Library::new(first.id().bytes + second.id().bytes);
-    library.add(first.clone());
-    library.add(second.clone());
-    assert_eq!(library.furthest(Revision::default()).map(Encoded::id), Some(second.id()));
-    assert!(library.get(&first.id()).is_some());
-    library.add(third.clone());
-    assert!(!library.holds(&second.id()), "least recently used");
-    assert_eq!(library.furthest(revision(5)).map(Encoded::id), Some(third.id()));
-    assert!(library.furthest(revision(6)).is_none());
+    let mut cache = UpdateCache::new(first.id().bytes + second.id().bytes);
+    cache.add(first.clone());
+    cache.add(second.clone());
+    assert_eq!(cache.furthest(Revision::default()).map(Encoded::id), Some(second.id()));
+    assert!(cache.get(&first.id()).is_some());
+    cache.add(third.clone());
+    assert!(!cache.holds(&second.id()), "least recently used");
+    assert_eq!(cache.furthest(revision(5)).map(Encoded::id), Some(third.id()));
+    assert!(cache.furthest(revision(6)).is_none());
 }
 
 #[test]
--- a/crates/cherrystream-daemon/src/peer_server.rs
+++ b/crates/cherrystream-daemon/src/peer_server.rs
@@ -10,7 +10,7 @@
 use crate::suspects::{self, SuspectWatch};
 use cherrystream_core::attempts::{Claimed, RequestKey};
 use cherrystream_core::deadline::Deadline;
-use cherrystream_core::distribution::{Encoded, Library};
+use cherrystream_core::distribution::{Encoded, UpdateCache};
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::suspects::{CallerFingerprint, Fingerprint, FingerprintKey, Identity};
 use cherrystream_core::units::{self, Dotted, Revision};
@@ -44,7 +44,7 @@
     /// Shared state held.
     pub held: Arc<HeldCell>,
     /// Encoded updates that other daemons may fetch here.
-    pub library: Arc<Mutex<Library>>,
+    pub library: Arc<Mutex<UpdateCache>>,
     /// Key of requests' fingerprints.
     pub fingerprints: FingerprintKey,
     /// Key of the system's own processes.
--- a/crates/cherrystream-daemon/src/role.rs
+++ b/crates/cherrystream-daemon/src/role.rs
@@ -16,7 +16,7 @@
 use crate::suspects::{self, SuspectWatch};
 use crate::sync::{Downloads, Newer, Sync, Tools};
 use cherrystream_core::attempts::{self, Attempts};
-use cherrystream_core::distribution::Library;
+use cherrystream_core::distribution::UpdateCache;
 use cherrystream_core::replica_choice::ReplicaChoice;
 use cherrystream_core::shared;
 use cherrystream_core::suspects::FingerprintKey;
@@ -160,7 +160,7 @@
             clock,
             metrics: cx.metrics.clone(),
         });
-        let library = Arc::new(Mutex::new(Library::new(LIBRARY_BYTES)));
+        let library = Arc::new(Mutex::new(UpdateCache::new(LIBRARY_BYTES)));
         let downloads = Arc::new(Downloads::new(Tools {
             held: held.clone(),
             library: library.clone(),
--- a/crates/cherrystream-daemon/src/sync/downloads.rs
+++ b/crates/cherrystream-daemon/src/sync/downloads.rs
@@ -4,7 +4,7 @@
 use crate::held::HeldCell;
 use crate::metrics::{Metrics, ReasonLabel};
 use crate::peer::Peers;
-use cherrystream_core::distribution::{Download, Encoded, Library, Taken};
+use cherrystream_core::distribution::{Download, Encoded, Taken, UpdateCache};
 use cherrystream_core::transfer::Pace;
 use cherrystream_core::units::{Dotted, Revision, Timestamp};
 use cherrystream_net::body::{self, Start};
@@ -70,7 +70,7 @@
     /// Shared state held.
     pub held: Arc<HeldCell>,
     /// Encoded updates that other daemons may fetch here.
-    pub library: Arc<Mutex<Library>>,
+    pub library: Arc<Mutex<UpdateCache>>,
     /// Connections to peers.
     pub peers: Arc<Peers>,
     /// Registration of this host.
