--- a/crates/cherrystream-bench/src/spread/after/host.rs
+++ b/crates/cherrystream-bench/src/spread/after/host.rs
@@ -1,7 +1,7 @@
 //! A daemon's heartbeat and its downloads, after `daemon::sync`.
 
 use super::{Served, WAIT};
-use cherrystream_core::distribution::{Download, Encoded, Taken};
+use cherrystream_core::distribution::{Download, EncodedUpdate, Taken};
 use cherrystream_core::transfer::Pace;
 use cherrystream_core::units::{Revision, Timestamp};
 use cherrystream_net::chunks;
@@ -47,7 +47,7 @@
     job: Option<Job>,
     pace: Pace,
     asked: Option<Asked>,
-    fetched: Option<Encoded>,
+    fetched: Option<EncodedUpdate>,
 }
 
 impl Host {
--- a/crates/cherrystream-bench/src/transfers.rs
+++ b/crates/cherrystream-bench/src/transfers.rs
@@ -6,7 +6,7 @@
 
 use crate::stats;
 use crate::tables::{self, History};
-use cherrystream_core::distribution::{Encoded, LIGHT};
+use cherrystream_core::distribution::{EncodedUpdate, LIGHT};
 use cherrystream_core::state::UpdateKind;
 use cherrystream_net::chunks;
 use cherrystream_schema::messages::{ChunkReply, Offer, Revision, Update};
@@ -73,8 +73,8 @@
         );
         return Ok(());
     }
-    let encoded = Encoded::new(held, &update);
-    let encode = median_ms(|| Encoded::new(held, &update));
+    let encoded = EncodedUpdate::new(held, &update);
+    let encode = median_ms(|| EncodedUpdate::new(held, &update));
     let decode = median_ms(|| encoded.decode());
     println!(
         "{what:>14} {size:>8} {:>12} {:>12} {:>12} {write:>11.2} {read:>11.2} {encode:>11.2} {decode:>11.2}",
@@ -90,7 +90,7 @@
 }
 
 /// Returns the bytes of the offer and of all chunks from control, Base64 and JSON included.
-fn in_chunks(encoded: &Encoded) -> Result<usize, String> {
+fn in_chunks(encoded: &EncodedUpdate) -> Result<usize, String> {
     let first = encoded.chunk(0, FIRST_CHUNK).map(|data| chunks::encode(0, data));
     let mut bytes = to_text(&Offer { id: encoded.id(), first, peers: Vec::new() })?.len();
     let mut offset = FIRST_CHUNK as u64;
--- a/crates/cherrystream-control/src/distribution.rs
+++ b/crates/cherrystream-control/src/distribution.rs
@@ -2,7 +2,7 @@
 
 use crate::reach::Reach;
 use cherrystream_core::distribution::{
-    Encoded, FetchScheduler, FetchSource, LIGHT, Requester, UpdateCache,
+    EncodedUpdate, FetchScheduler, FetchSource, LIGHT, Requester, UpdateCache,
 };
 use cherrystream_core::state::{ControlState, UpdateKind};
 use cherrystream_core::units::{Dotted, Revision, Timestamp};
@@ -108,7 +108,12 @@
     }
 
     /// Returns the encoded update for a daemon. It is encoded once: the library is locked meanwhile.
-    fn encoded(&self, state: &RwLock<ControlState>, held: Revision, step: UpdateKind) -> Encoded {
+    fn encoded(
+        &self,
+        state: &RwLock<ControlState>,
+        held: Revision,
+        step: UpdateKind,
+    ) -> EncodedUpdate {
         let mut library = self.library.lock();
         let from = match step {
             UpdateKind::Whole { .. } => Revision::default(),
@@ -122,7 +127,7 @@
             return known.clone();
         }
         let update = state.read().update_since(held);
-        let encoded = Encoded::new(held, &update);
+        let encoded = EncodedUpdate::new(held, &update);
         let StateId { from, to, bytes, .. } = encoded.id();
         log::info!("control: encoded {} to {} in {bytes} bytes", Dotted(from), Dotted(to));
         library.add(encoded.clone());
--- a/crates/cherrystream-core/src/distribution/download.rs
+++ b/crates/cherrystream-core/src/distribution/download.rs
@@ -1,7 +1,7 @@
 //! Download of an encoded update in chunks.
 
 use super::encoded::MAX_UPDATE_BYTES;
-use super::{Encoded, Unreadable};
+use super::{EncodedUpdate, Unreadable};
 use crate::units::Timestamp;
 use cherrystream_schema::messages::StateId;
 use snafu::{ResultExt, Snafu, ensure};
@@ -36,7 +36,7 @@
     /// The chunk was not the next one and was ignored.
     Ignored,
     /// The update is complete.
-    Whole(Encoded),
+    Whole(EncodedUpdate),
 }
 
 /// Download of an update. Memory grows with the received bytes, not with the announced size.
@@ -85,7 +85,7 @@
             return Ok(Taken::Partial);
         }
         let bytes = std::mem::take(&mut self.bytes);
-        Encoded::from_bytes(self.id, bytes).map(Taken::Whole).context(WholeSnafu)
+        EncodedUpdate::from_bytes(self.id, bytes).map(Taken::Whole).context(WholeSnafu)
     }
 
     /// Returns whether the download has made no progress for so long that it needs another offer.
--- a/crates/cherrystream-core/src/distribution/encoded.rs
+++ b/crates/cherrystream-core/src/distribution/encoded.rs
@@ -37,18 +37,18 @@
 
 /// Compressed update with its identifier.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Encoded {
+pub struct EncodedUpdate {
     id: StateId,
     bytes: Arc<[u8]>,
 }
 
-impl Encoded {
+impl EncodedUpdate {
     /// Encodes an update that applies to revision `from`. One with the whole state applies to any.
     ///
     /// # Panics
     ///
     /// Never: an update serializes without errors, and writing to memory does not fail.
-    pub fn new(from: Revision, update: &Update) -> Encoded {
+    pub fn new(from: Revision, update: &Update) -> EncodedUpdate {
         // Serializing to memory first is faster than writing to the encoder directly.
         let text = serde_json::to_vec(update).expect("an update serializes to JSON");
         let mut encoder = ZlibEncoder::new(Vec::new(), Compression::default());
@@ -57,7 +57,7 @@
         let from = if update.full.is_some() { Revision::default() } else { from };
         let checksum = crc32fast::hash(&bytes);
         let id = StateId { from, to: update.revision, bytes: bytes.len() as u64, checksum };
-        Encoded { id, bytes: bytes.into() }
+        EncodedUpdate { id, bytes: bytes.into() }
     }
 
     /// Creates an encoded update from received bytes.
@@ -65,10 +65,10 @@
     /// # Errors
     ///
     /// Fails if the bytes do not match the size and checksum of the identifier.
-    pub fn from_bytes(id: StateId, bytes: Vec<u8>) -> Result<Encoded, Unreadable> {
+    pub fn from_bytes(id: StateId, bytes: Vec<u8>) -> Result<EncodedUpdate, Unreadable> {
         let same = bytes.len() as u64 == id.bytes && crc32fast::hash(&bytes) == id.checksum;
         ensure!(same, ChecksumSnafu);
-        Ok(Encoded { id, bytes: bytes.into() })
+        Ok(EncodedUpdate { id, bytes: bytes.into() })
     }
 
     /// Decodes the update.
--- a/crates/cherrystream-core/src/distribution/update_cache.rs
+++ b/crates/cherrystream-core/src/distribution/update_cache.rs
@@ -1,6 +1,6 @@
 //! Cache of encoded updates.
 
-use super::Encoded;
+use super::EncodedUpdate;
 use crate::units::Revision;
 use cherrystream_schema::messages::StateId;
 use std::collections::VecDeque;
@@ -13,7 +13,7 @@
 pub struct UpdateCache {
     max_bytes: u64,
     /// Updates, most recently used first.
-    updates: VecDeque<Encoded>,
+    updates: VecDeque<EncodedUpdate>,
 }
 
 impl UpdateCache {
@@ -23,7 +23,7 @@
     }
 
     /// Adds an update, and evicts the least recently used ones beyond the limits.
-    pub fn add(&mut self, encoded: Encoded) {
+    pub fn add(&mut self, encoded: EncodedUpdate) {
         self.updates.retain(|update| update.id() != encoded.id());
         self.updates.push_front(encoded);
         while self.updates.len() > MAX_UPDATES
@@ -34,7 +34,7 @@
     }
 
     /// Returns the update with an identifier, and records its use.
-    pub fn get(&mut self, id: &StateId) -> Option<&Encoded> {
+    pub fn get(&mut self, id: &StateId) -> Option<&EncodedUpdate> {
         let position = self.updates.iter().position(|update| update.id() == *id)?;
         let found = self.updates.remove(position)?;
         self.updates.push_front(found);
@@ -43,7 +43,7 @@
 
     /// Returns the update from a revision to the latest one. Updates with the whole state start at
     /// revision zero.
-    pub fn furthest(&self, from: Revision) -> Option<&Encoded> {
+    pub fn furthest(&self, from: Revision) -> Option<&EncodedUpdate> {
         let updates = self.updates.iter().filter(|update| update.id().from == from);
         updates.max_by_key(|update| update.id().to)
     }
--- a/crates/cherrystream-core/tests/distribution.rs
+++ b/crates/cherrystream-core/tests/distribution.rs
@@ -2,8 +2,8 @@
 
 use arbtest::arbtest;
 use cherrystream_core::distribution::{
-    BatchSchedule, ChunkFault, Download, Encoded, FetchScheduler, FetchSource, MAX_UPDATE_BYTES,
-    Requester, Taken, UpdateCache,
+    BatchSchedule, ChunkFault, Download, EncodedUpdate, FetchScheduler, FetchSource,
+    MAX_UPDATE_BYTES, Requester, Taken, UpdateCache,
 };
 use cherrystream_core::shared;
 use cherrystream_core::state::{ControlState, UpdateKind};
@@ -43,13 +43,13 @@
     state
 }
 
-fn whole(hosts: u64) -> Encoded {
-    Encoded::new(Revision::default(), &state(hosts).update_since(Revision::default()))
+fn whole(hosts: u64) -> EncodedUpdate {
+    EncodedUpdate::new(Revision::default(), &state(hosts).update_since(Revision::default()))
 }
 
-fn change(from: u64, to: u64) -> Encoded {
+fn change(from: u64, to: u64) -> EncodedUpdate {
     let update = state(to).update_since(revision(from));
-    Encoded::new(revision(from), &update)
+    EncodedUpdate::new(revision(from), &update)
 }
 
 #[test]
@@ -94,7 +94,7 @@
     assert!(Download::new(at(0), too_long, WITHIN).is_none());
     let other = StateId { to: revision(999), ..id };
     let bytes = encoded.chunk(0, usize::MAX).unwrap().to_vec();
-    assert!(Encoded::from_bytes(other, bytes).unwrap().decode().is_err());
+    assert!(EncodedUpdate::from_bytes(other, bytes).unwrap().decode().is_err());
 }
 
 #[test]
@@ -161,11 +161,11 @@
     let mut cache = UpdateCache::new(first.id().bytes + second.id().bytes);
     cache.add(first.clone());
     cache.add(second.clone());
-    assert_eq!(cache.furthest(Revision::default()).map(Encoded::id), Some(second.id()));
+    assert_eq!(cache.furthest(Revision::default()).map(EncodedUpdate::id), Some(second.id()));
     assert!(cache.get(&first.id()).is_some());
     cache.add(third.clone());
     assert!(!cache.holds(&second.id()), "least recently used");
-    assert_eq!(cache.furthest(revision(5)).map(Encoded::id), Some(third.id()));
+    assert_eq!(cache.furthest(revision(5)).map(EncodedUpdate::id), Some(third.id()));
     assert!(cache.furthest(revision(6)).is_none());
 }
 
--- a/crates/cherrystream-daemon/src/peer_server.rs
+++ b/crates/cherrystream-daemon/src/peer_server.rs
@@ -10,7 +10,7 @@
 use crate::suspects::{self, SuspectWatch};
 use cherrystream_core::attempts::{Claimed, RequestKey};
 use cherrystream_core::deadline::Deadline;
-use cherrystream_core::distribution::{Encoded, UpdateCache};
+use cherrystream_core::distribution::{EncodedUpdate, UpdateCache};
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::suspects::{CallerFingerprint, Fingerprint, FingerprintKey, Identity};
 use cherrystream_core::units::{self, Dotted, Revision};
@@ -205,13 +205,13 @@
     /// Encodes the whole state held, unless that was done before.
     fn whole(&self, held: &Held) -> StateId {
         let mut library = self.library.lock();
-        let newest = library.furthest(Revision::default()).map(Encoded::id);
+        let newest = library.furthest(Revision::default()).map(EncodedUpdate::id);
         if let Some(id) = newest.filter(|id| id.to == held.revision) {
             return id;
         }
         let full = Some(held.whole());
         let update = Update { revision: held.revision, changes: Vec::new(), full };
-        let encoded = Encoded::new(Revision::default(), &update);
+        let encoded = EncodedUpdate::new(Revision::default(), &update);
         let id = encoded.id();
         library.add(encoded);
         id
--- a/crates/cherrystream-daemon/src/sync/downloads.rs
+++ b/crates/cherrystream-daemon/src/sync/downloads.rs
@@ -4,7 +4,7 @@
 use crate::held::HeldCell;
 use crate::metrics::{Metrics, ReasonLabel};
 use crate::peer::Peers;
-use cherrystream_core::distribution::{Download, Encoded, Taken, UpdateCache};
+use cherrystream_core::distribution::{Download, EncodedUpdate, Taken, UpdateCache};
 use cherrystream_core::transfer::Pace;
 use cherrystream_core::units::{Dotted, Revision, Timestamp};
 use cherrystream_net::body::{self, Start};
@@ -304,7 +304,7 @@
         }
     }
 
-    fn put_in_force(&self, encoded: Encoded, took: Duration) {
+    fn put_in_force(&self, encoded: EncodedUpdate, took: Duration) {
         let StateId { from, to, bytes, .. } = encoded.id();
         let update = match encoded.decode() {
             Ok(update) => update,
