--- a/crates/cherrystream-bench/src/transfers.rs
+++ b/crates/cherrystream-bench/src/transfers.rs
@@ -6,7 +6,7 @@
 
 use crate::stats;
 use crate::tables::{self, History};
-use cherrystream_core::distribution::{EncodedUpdate, LIGHT};
+use cherrystream_core::distribution::{EncodedUpdate, MAX_INLINE_WEIGHT};
 use cherrystream_core::state::UpdateKind;
 use cherrystream_net::chunks;
 use cherrystream_schema::messages::{ChunkReply, Offer, Revision, Update};
@@ -86,7 +86,7 @@
 }
 
 fn is_short(step: UpdateKind) -> bool {
-    matches!(step, UpdateKind::Changes { weight } if weight <= LIGHT)
+    matches!(step, UpdateKind::Changes { weight } if weight <= MAX_INLINE_WEIGHT)
 }
 
 /// Returns the bytes of the offer and of all chunks from control, Base64 and JSON included.
--- a/crates/cherrystream-control/src/distribution.rs
+++ b/crates/cherrystream-control/src/distribution.rs
@@ -2,7 +2,7 @@
 
 use crate::reach::Reach;
 use cherrystream_core::distribution::{
-    EncodedUpdate, FetchScheduler, FetchSource, LIGHT, Requester, UpdateCache,
+    EncodedUpdate, FetchScheduler, FetchSource, MAX_INLINE_WEIGHT, Requester, UpdateCache,
 };
 use cherrystream_core::state::{ControlState, UpdateKind};
 use cherrystream_core::units::{Dotted, Revision, Timestamp};
@@ -62,7 +62,7 @@
                 self.scheduler.lock().on_done(requester);
                 return Lacking::Nothing;
             }
-            UpdateKind::Changes { weight } if weight <= LIGHT => {
+            UpdateKind::Changes { weight } if weight <= MAX_INLINE_WEIGHT => {
                 self.scheduler.lock().on_done(requester);
                 return Lacking::Short(Box::new(state.read().update_since(req.held)));
             }
@@ -155,7 +155,7 @@
 fn is_light(step: UpdateKind) -> bool {
     match step {
         UpdateKind::Nothing => true,
-        UpdateKind::Changes { weight } => weight <= LIGHT,
+        UpdateKind::Changes { weight } => weight <= MAX_INLINE_WEIGHT,
         UpdateKind::Whole { .. } => false,
     }
 }
--- a/crates/cherrystream-core/src/distribution/mod.rs
+++ b/crates/cherrystream-core/src/distribution/mod.rs
@@ -19,4 +19,4 @@
 pub use encoded::{EncodedUpdate, MAX_UPDATE_BYTES, Unreadable};
 pub use fetch_scheduler::{FetchScheduler, FetchSource, Requester};
 pub use update_cache::UpdateCache;
-pub use weight::{LIGHT, of_changes, of_state};
+pub use weight::{MAX_INLINE_WEIGHT, changes_weight, state_weight};
--- a/crates/cherrystream-core/src/distribution/weight.rs
+++ b/crates/cherrystream-core/src/distribution/weight.rs
@@ -3,14 +3,14 @@
 use cherrystream_schema::messages::{Change, RouteTable, Shared};
 
 /// Largest number of items in an update that is sent inline instead of being fetched in chunks.
-pub const LIGHT: usize = 24;
+pub const MAX_INLINE_WEIGHT: usize = 24;
 
 /// Returns the number of items in changes: routes, hosts, instances and similar.
-pub fn of_changes<'a>(changes: impl Iterator<Item = &'a Change>) -> usize {
-    changes.map(of_change).sum()
+pub fn changes_weight<'a>(changes: impl Iterator<Item = &'a Change>) -> usize {
+    changes.map(change_weight).sum()
 }
 
-fn of_change(change: &Change) -> usize {
+fn change_weight(change: &Change) -> usize {
     match change {
         Change::PatchRoutes { put, removed, services, workspaces, workspaces_removed, .. } => {
             // The name of a removed route or workspace is about a tenth of its size.
@@ -27,7 +27,7 @@
 }
 
 /// Returns the number of items in a whole state.
-pub fn of_state(shared: &Shared) -> usize {
+pub fn state_weight(shared: &Shared) -> usize {
     let services = shared.config.services.values();
     let configured: usize = services.map(|s| 1 + s.kinds.len() + s.backend_servers.len()).sum();
     let in_table = |t: &RouteTable| t.routes.len() + t.services.len() + t.workspaces.len();
--- a/crates/cherrystream-core/src/state/changes.rs
+++ b/crates/cherrystream-core/src/state/changes.rs
@@ -51,11 +51,11 @@
     /// Drops the oldest changes beyond the limits. Changes that weigh more than the whole state are
     /// never sent.
     fn drop_old_changes(&mut self) {
-        let max_weight = distribution::of_state(&self.shared).max(MIN_RETAINED_WEIGHT);
+        let max_weight = distribution::state_weight(&self.shared).max(MIN_RETAINED_WEIGHT);
         let mut weight = 0;
         let mut retained = 0;
         for numbered in self.changes.iter().rev() {
-            weight += distribution::of_changes([&numbered.change].into_iter());
+            weight += distribution::changes_weight([&numbered.change].into_iter());
             if retained == MAX_CHANGES || weight > max_weight {
                 break;
             }
@@ -86,14 +86,18 @@
         if held >= self.revision || self.skipped_routes {
             return UpdateKind::Nothing;
         }
-        let whole = UpdateKind::Whole { weight: distribution::of_state(&self.shared) };
+        let whole = UpdateKind::Whole { weight: distribution::state_weight(&self.shared) };
         if held < self.changes_after {
             return whole;
         }
         let newer = self.newer_than(held).map(|numbered| &numbered.change);
-        let weight = distribution::of_changes(newer);
+        let weight = distribution::changes_weight(newer);
         match whole {
-            UpdateKind::Whole { weight: w } if weight > distribution::LIGHT && w <= weight => whole,
+            UpdateKind::Whole { weight: w }
+                if weight > distribution::MAX_INLINE_WEIGHT && w <= weight =>
+            {
+                whole
+            }
             _ => UpdateKind::Changes { weight },
         }
     }
