--- a/crates/cherrystream-core/src/distribution/download.rs
+++ b/crates/cherrystream-core/src/distribution/download.rs
@@ -1,7 +1,7 @@
 //! Download of an encoded update in chunks.
 
 use super::encoded::MAX_UPDATE_BYTES;
-use super::{EncodedUpdate, Unreadable};
+use super::{DecodeError, EncodedUpdate};
 use crate::units::Timestamp;
 use cherrystream_schema::messages::StateId;
 use snafu::{ResultExt, Snafu, ensure};
@@ -16,7 +16,7 @@
 
 /// Reason why a chunk is invalid.
 #[derive(Debug, Snafu)]
-pub enum ChunkFault {
+pub enum ChunkError {
     /// The chunk exceeds the size of the update.
     #[snafu(display("the chunk exceeds the size of the update"))]
     TooLong,
@@ -24,7 +24,7 @@
     #[snafu(display("{source}"))]
     Whole {
         /// Error of the encoded update.
-        source: Unreadable,
+        source: DecodeError,
     },
 }
 
@@ -74,7 +74,7 @@
     ///
     /// Fails if the chunk exceeds the size of the update or the complete data does not match its
     /// checksum. The download must then be discarded.
-    pub fn take(&mut self, now: Timestamp, offset: u64, data: &[u8]) -> Result<Taken, ChunkFault> {
+    pub fn take(&mut self, now: Timestamp, offset: u64, data: &[u8]) -> Result<Taken, ChunkError> {
         if offset != self.received() || data.is_empty() {
             return Ok(Taken::Ignored);
         }
--- a/crates/cherrystream-core/src/distribution/encoded.rs
+++ b/crates/cherrystream-core/src/distribution/encoded.rs
@@ -14,7 +14,7 @@
 
 /// Error of decoding an update.
 #[derive(Debug, Snafu)]
-pub enum Unreadable {
+pub enum DecodeError {
     /// The bytes are not the offered ones.
     #[snafu(display("the bytes do not match their checksum"))]
     Checksum,
@@ -65,7 +65,7 @@
     /// # Errors
     ///
     /// Fails if the bytes do not match the size and checksum of the identifier.
-    pub fn from_bytes(id: StateId, bytes: Vec<u8>) -> Result<EncodedUpdate, Unreadable> {
+    pub fn from_bytes(id: StateId, bytes: Vec<u8>) -> Result<EncodedUpdate, DecodeError> {
         let same = bytes.len() as u64 == id.bytes && crc32fast::hash(&bytes) == id.checksum;
         ensure!(same, ChecksumSnafu);
         Ok(EncodedUpdate { id, bytes: bytes.into() })
@@ -76,7 +76,7 @@
     /// # Errors
     ///
     /// Fails if the bytes are not an update, or one that does not match the identifier.
-    pub fn decode(&self) -> Result<Update, Unreadable> {
+    pub fn decode(&self) -> Result<Update, DecodeError> {
         let mut text = Vec::new();
         let mut decoder = ZlibDecoder::new(&*self.bytes).take(MAX_UPDATE_BYTES);
         decoder.read_to_end(&mut text).context(PackingSnafu)?;
--- a/crates/cherrystream-core/src/distribution/mod.rs
+++ b/crates/cherrystream-core/src/distribution/mod.rs
@@ -15,8 +15,8 @@
 mod weight;
 
 pub use batch_schedule::BatchSchedule;
-pub use download::{ChunkFault, Download, Taken};
-pub use encoded::{EncodedUpdate, MAX_UPDATE_BYTES, Unreadable};
+pub use download::{ChunkError, Download, Taken};
+pub use encoded::{DecodeError, EncodedUpdate, MAX_UPDATE_BYTES};
 pub use fetch_scheduler::{FetchScheduler, FetchSource, Requester};
 pub use update_cache::UpdateCache;
 pub use weight::{MAX_INLINE_WEIGHT, changes_weight, state_weight};
--- a/crates/cherrystream-core/tests/distribution.rs
+++ b/crates/cherrystream-core/tests/distribution.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbtest;
 use cherrystream_core::distribution::{
-    BatchSchedule, ChunkFault, Download, EncodedUpdate, FetchScheduler, FetchSource,
+    BatchSchedule, ChunkError, Download, EncodedUpdate, FetchScheduler, FetchSource,
     MAX_UPDATE_BYTES, Requester, Taken, UpdateCache,
 };
 use cherrystream_core::shared;
@@ -86,10 +86,10 @@
     let mut data = encoded.chunk(0, usize::MAX).unwrap().to_vec();
     data[20] ^= 1;
     let mut download = Download::new(at(0), id, WITHIN).unwrap();
-    assert!(matches!(download.take(at(1), 0, &data), Err(ChunkFault::Whole { .. })));
+    assert!(matches!(download.take(at(1), 0, &data), Err(ChunkError::Whole { .. })));
     let mut download = Download::new(at(0), id, WITHIN).unwrap();
     data.push(0);
-    assert!(matches!(download.take(at(1), 0, &data), Err(ChunkFault::TooLong)));
+    assert!(matches!(download.take(at(1), 0, &data), Err(ChunkError::TooLong)));
     let too_long = StateId { bytes: MAX_UPDATE_BYTES + 1, ..id };
     assert!(Download::new(at(0), too_long, WITHIN).is_none());
     let other = StateId { to: revision(999), ..id };
