--- a/crates/cherrystream-control/src/arrivals.rs
+++ b/crates/cherrystream-control/src/arrivals.rs
@@ -1,7 +1,7 @@
 //! Long messages of other replicas, which arrive in pieces.
 
 use crate::handle::Event;
-use cherrystream_core::transfer::{self, PieceFault, Receiving, Taken, Unreadable};
+use cherrystream_core::transfer::{self, DecodeError, PieceError, Receiving, Taken};
 use cherrystream_core::units::Timestamp;
 use cherrystream_net::rpc::MESSAGE_BYTES;
 use cherrystream_schema::messages::{Piece, RaftMessage};
@@ -18,13 +18,13 @@
     #[snafu(display("{source}"))]
     Piece {
         /// What is wrong.
-        source: PieceFault,
+        source: PieceError,
     },
     /// It is no message.
     #[snafu(display("{source}"))]
     Message {
         /// What is wrong.
-        source: Unreadable,
+        source: DecodeError,
     },
     /// It was not read to the end.
     #[snafu(display("reading it was broken off: {source}"))]
--- a/crates/cherrystream-core/src/transfer/mod.rs
+++ b/crates/cherrystream-core/src/transfer/mod.rs
@@ -15,8 +15,8 @@
 
 pub use outbox::Outbox;
 pub use pace::Pace;
-pub use packing::{Unreadable, pack, unpack};
-pub use receiving::{PieceFault, Receiving, Taken};
+pub use packing::{DecodeError, pack, unpack};
+pub use receiving::{PieceError, Receiving, Taken};
 pub use sending::Sending;
 
 use std::time::Duration;
--- a/crates/cherrystream-core/src/transfer/packing.rs
+++ b/crates/cherrystream-core/src/transfer/packing.rs
@@ -9,7 +9,7 @@
 
 /// Error of reading a message from the bytes of a transfer.
 #[derive(Debug, Snafu)]
-pub enum Unreadable {
+pub enum DecodeError {
     /// The bytes cannot be decompressed.
     #[snafu(display("the bytes cannot be decompressed: {source}"))]
     Packing {
@@ -40,7 +40,7 @@
 /// # Errors
 ///
 /// Fails if the bytes are not the output of [`pack`] or the text is longer.
-pub fn unpack(content: &[u8], max_bytes: u64) -> Result<RaftMessage, Unreadable> {
+pub fn unpack(content: &[u8], max_bytes: u64) -> Result<RaftMessage, DecodeError> {
     let mut text = Vec::new();
     let mut decoder = ZlibDecoder::new(content).take(max_bytes);
     decoder.read_to_end(&mut text).context(PackingSnafu)?;
--- a/crates/cherrystream-core/src/transfer/receiving.rs
+++ b/crates/cherrystream-core/src/transfer/receiving.rs
@@ -10,7 +10,7 @@
 
 /// Reason why a piece is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-pub enum PieceFault {
+pub enum PieceError {
     /// The transfer exceeds the size limit.
     #[snafu(display("the transfer exceeds the size limit of a message"))]
     TooLong,
@@ -61,7 +61,7 @@
     /// # Errors
     ///
     /// Fails if the piece is invalid, and discards its transfer.
-    pub fn take(&mut self, now: Timestamp, piece: &Piece) -> Result<Taken, PieceFault> {
+    pub fn take(&mut self, now: Timestamp, piece: &Piece) -> Result<Taken, PieceError> {
         let taken = self.try_take(now, piece);
         if taken.is_err() {
             self.partials.remove(&piece.from);
@@ -69,17 +69,17 @@
         taken
     }
 
-    fn try_take(&mut self, now: Timestamp, piece: &Piece) -> Result<Taken, PieceFault> {
+    fn try_take(&mut self, now: Timestamp, piece: &Piece) -> Result<Taken, PieceError> {
         if piece.total > self.max_bytes {
-            return Err(PieceFault::TooLong);
+            return Err(PieceError::TooLong);
         }
-        let data = STANDARD_NO_PAD.decode(&piece.data).map_err(|_| PieceFault::Unreadable)?;
+        let data = STANDARD_NO_PAD.decode(&piece.data).map_err(|_| PieceError::Unreadable)?;
         let known = self.partials.get(&piece.from).is_some_and(|p| p.is_of(piece));
         if !known {
             self.partials.insert(piece.from, Partial::new(now, piece));
         }
         let Some(partial) = self.partials.get_mut(&piece.from) else {
-            return Err(PieceFault::Unreadable);
+            return Err(PieceError::Unreadable);
         };
         partial.take(now, piece.offset, &data)
     }
@@ -116,7 +116,7 @@
         (self.transfer, self.total, self.checksum) == (piece.transfer, piece.total, piece.checksum)
     }
 
-    fn take(&mut self, now: Timestamp, offset: u64, data: &[u8]) -> Result<Taken, PieceFault> {
+    fn take(&mut self, now: Timestamp, offset: u64, data: &[u8]) -> Result<Taken, PieceError> {
         if self.handed_out {
             return Ok(Taken::Held(self.total));
         }
@@ -126,7 +126,7 @@
             return Ok(Taken::Held(held));
         }
         if held + data.len() as u64 > self.total {
-            return Err(PieceFault::Unreadable);
+            return Err(PieceError::Unreadable);
         }
         if !data.is_empty() {
             self.progressed = now;
@@ -136,7 +136,7 @@
             return Ok(Taken::Held(self.bytes.len() as u64));
         }
         if crc32fast::hash(&self.bytes) != self.checksum {
-            return Err(PieceFault::Checksum);
+            return Err(PieceError::Checksum);
         }
         self.handed_out = true;
         Ok(Taken::Whole(std::mem::take(&mut self.bytes)))
--- a/crates/cherrystream-core/tests/transfer/pieces.rs
+++ b/crates/cherrystream-core/tests/transfer/pieces.rs
@@ -1,7 +1,7 @@
 //! Sending and receiving ends of a transfer.
 
 use cherrystream_core::transfer::{
-    self, GIVE_UP, PARTIAL_TTL, Pace, PieceFault, Receiving, Sending, Taken,
+    self, GIVE_UP, PARTIAL_TTL, Pace, PieceError, Receiving, Sending, Taken,
 };
 use cherrystream_core::units::Timestamp;
 use cherrystream_schema::messages::{RaftBody, RaftMessage};
@@ -114,16 +114,16 @@
     let good = Sending::new(1, 7, content(), at(0)).piece(PIECE, 1);
     let mut long = good.clone();
     long.total = LIMIT + 1;
-    assert_eq!(rx.take(at(0), &long), Err(PieceFault::TooLong));
+    assert_eq!(rx.take(at(0), &long), Err(PieceError::TooLong));
     let mut unreadable = good.clone();
     unreadable.data = "?".into();
-    assert_eq!(rx.take(at(0), &unreadable), Err(PieceFault::Unreadable));
+    assert_eq!(rx.take(at(0), &unreadable), Err(PieceError::Unreadable));
     let mut beyond = good.clone();
     beyond.total = 10;
-    assert_eq!(rx.take(at(0), &beyond), Err(PieceFault::Unreadable));
+    assert_eq!(rx.take(at(0), &beyond), Err(PieceError::Unreadable));
     let mut corrupt = Sending::new(1, 7, vec![1; 10], at(0)).piece(PIECE, 1);
     corrupt.checksum ^= 1;
-    assert_eq!(rx.take(at(0), &corrupt), Err(PieceFault::Checksum));
+    assert_eq!(rx.take(at(0), &corrupt), Err(PieceError::Checksum));
     assert_eq!(rx.bytes(), 0);
     // The announced size allocates no memory.
     let mut announced = good;
