--- a/crates/cherrystream-bench/src/light.rs
+++ b/crates/cherrystream-bench/src/light.rs
@@ -1,6 +1,6 @@
 //! Light daemons: each only keeps its heartbeat and fetches what control offers, as a daemon does.
 
-use cherrystream_core::distribution::{Download, Taken};
+use cherrystream_core::distribution::{ChunkOutcome, Download};
 use cherrystream_core::transfer::Pace;
 use cherrystream_net::chunks;
 use cherrystream_net::clock::Clock;
@@ -135,7 +135,9 @@
         loop {
             if let Some(chunk) = &chunk {
                 let data = chunks::decode(chunk)?;
-                if let Taken::Whole(_) = download.take(clock.now(), chunk.offset, &data).ok()? {
+                if let ChunkOutcome::Whole(_) =
+                    download.take(clock.now(), chunk.offset, &data).ok()?
+                {
                     return Some(offer.id.to);
                 }
             }
--- a/crates/cherrystream-bench/src/spread/after/host.rs
+++ b/crates/cherrystream-bench/src/spread/after/host.rs
@@ -1,7 +1,7 @@
 //! A daemon's heartbeat and its downloads, after `daemon::sync`.
 
 use super::{Served, WAIT};
-use cherrystream_core::distribution::{Download, EncodedUpdate, Taken};
+use cherrystream_core::distribution::{ChunkOutcome, Download, EncodedUpdate};
 use cherrystream_core::transfer::Pace;
 use cherrystream_core::units::{Revision, Timestamp};
 use cherrystream_net::chunks;
@@ -182,8 +182,8 @@
             return false;
         };
         match job.download.take(now, offset, data) {
-            Ok(Taken::Partial | Taken::Ignored) => false,
-            Ok(Taken::Whole(encoded)) => {
+            Ok(ChunkOutcome::Partial | ChunkOutcome::Ignored) => false,
+            Ok(ChunkOutcome::Whole(encoded)) => {
                 self.job = None;
                 self.fetched = Some(encoded);
                 self.held = id.to;
--- a/crates/cherrystream-core/src/distribution/download.rs
+++ b/crates/cherrystream-core/src/distribution/download.rs
@@ -30,7 +30,7 @@
 
 /// Result of a valid chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum ChunkOutcome {
     /// More chunks are expected.
     Partial,
     /// The chunk was not the next one and was ignored.
@@ -74,18 +74,23 @@
     ///
     /// Fails if the chunk exceeds the size of the update or the complete data does not match its
     /// checksum. The download must then be discarded.
-    pub fn take(&mut self, now: Timestamp, offset: u64, data: &[u8]) -> Result<Taken, ChunkError> {
+    pub fn take(
+        &mut self,
+        now: Timestamp,
+        offset: u64,
+        data: &[u8],
+    ) -> Result<ChunkOutcome, ChunkError> {
         if offset != self.received() || data.is_empty() {
-            return Ok(Taken::Ignored);
+            return Ok(ChunkOutcome::Ignored);
         }
         ensure!(self.received() + data.len() as u64 <= self.id.bytes, TooLongSnafu);
         self.bytes.extend_from_slice(data);
         self.progressed = now;
         if self.received() < self.id.bytes {
-            return Ok(Taken::Partial);
+            return Ok(ChunkOutcome::Partial);
         }
         let bytes = std::mem::take(&mut self.bytes);
-        EncodedUpdate::from_bytes(self.id, bytes).map(Taken::Whole).context(WholeSnafu)
+        EncodedUpdate::from_bytes(self.id, bytes).map(ChunkOutcome::Whole).context(WholeSnafu)
     }
 
     /// Returns whether the download has made no progress for so long that it needs another offer.
--- a/crates/cherrystream-core/src/distribution/mod.rs
+++ b/crates/cherrystream-core/src/distribution/mod.rs
@@ -15,7 +15,7 @@
 mod weight;
 
 pub use batch_schedule::BatchSchedule;
-pub use download::{ChunkError, Download, Taken};
+pub use download::{ChunkError, ChunkOutcome, Download};
 pub use encoded::{DecodeError, EncodedUpdate, MAX_UPDATE_BYTES};
 pub use fetch_scheduler::{FetchScheduler, FetchSource, Requester};
 pub use update_cache::UpdateCache;
--- a/crates/cherrystream-core/tests/distribution.rs
+++ b/crates/cherrystream-core/tests/distribution.rs
@@ -2,8 +2,8 @@
 
 use arbtest::arbtest;
 use cherrystream_core::distribution::{
-    BatchSchedule, ChunkError, Download, EncodedUpdate, FetchScheduler, FetchSource,
-    MAX_UPDATE_BYTES, Requester, Taken, UpdateCache,
+    BatchSchedule, ChunkError, ChunkOutcome, Download, EncodedUpdate, FetchScheduler, FetchSource,
+    MAX_UPDATE_BYTES, Requester, UpdateCache,
 };
 use cherrystream_core::shared;
 use cherrystream_core::state::{ControlState, UpdateKind};
@@ -67,12 +67,12 @@
             let len = u.int_in_range(10..=500)?;
             let data = encoded.chunk(offset, len).unwrap();
             match download.take(at(1), offset, data).unwrap() {
-                Taken::Whole(got) => {
+                ChunkOutcome::Whole(got) => {
                     assert_eq!(got.decode().unwrap(), update);
                     return Ok(());
                 }
-                Taken::Partial => assert!(download.received() < encoded.id().bytes),
-                Taken::Ignored => assert_ne!(offset, download.received()),
+                ChunkOutcome::Partial => assert!(download.received() < encoded.id().bytes),
+                ChunkOutcome::Ignored => assert_ne!(offset, download.received()),
             }
         }
         Ok(())
--- a/crates/cherrystream-daemon/src/sync/downloads.rs
+++ b/crates/cherrystream-daemon/src/sync/downloads.rs
@@ -4,7 +4,7 @@
 use crate::held::HeldCell;
 use crate::metrics::{Metrics, ReasonLabel};
 use crate::peer::Peers;
-use cherrystream_core::distribution::{Download, EncodedUpdate, Taken, UpdateCache};
+use cherrystream_core::distribution::{ChunkOutcome, Download, EncodedUpdate, UpdateCache};
 use cherrystream_core::transfer::Pace;
 use cherrystream_core::units::{Dotted, Revision, Timestamp};
 use cherrystream_net::body::{self, Start};
@@ -288,8 +288,8 @@
         let Some(job) = current.as_mut().filter(|job| job.download.id() == id) else { return };
         let (taken, started) = (job.download.take(now, offset, data), job.started);
         match taken {
-            Ok(Taken::Partial | Taken::Ignored) => {}
-            Ok(Taken::Whole(encoded)) => {
+            Ok(ChunkOutcome::Partial | ChunkOutcome::Ignored) => {}
+            Ok(ChunkOutcome::Whole(encoded)) => {
                 *current = None;
                 drop(current);
                 self.put_in_force(encoded, started.elapsed());
