--- a/crates/cherrystream-control/src/arrivals.rs
+++ b/crates/cherrystream-control/src/arrivals.rs
@@ -1,7 +1,7 @@
 //! Long messages of other replicas, which arrive in pieces.
 
 use crate::handle::Event;
-use cherrystream_core::transfer::{self, DecodeError, PieceError, Receiving, Taken};
+use cherrystream_core::transfer::{self, DecodeError, PieceError, PieceOutcome, Receiving};
 use cherrystream_core::units::Timestamp;
 use cherrystream_net::rpc::MESSAGE_BYTES;
 use cherrystream_schema::messages::{Piece, RaftMessage};
@@ -64,8 +64,8 @@
     pub async fn take(&self, now: Timestamp, piece: Piece) -> Result<u64, ArrivalFault> {
         let taken = self.receiving.lock().take(now, &piece).context(PieceSnafu)?;
         let content = match taken {
-            Taken::Held(held) => return Ok(held),
-            Taken::Whole(content) => content,
+            PieceOutcome::Held(held) => return Ok(held),
+            PieceOutcome::Whole(content) => content,
         };
         let total = piece.total;
         let arrivals = self.clone();
--- a/crates/cherrystream-core/src/transfer/mod.rs
+++ b/crates/cherrystream-core/src/transfer/mod.rs
@@ -16,7 +16,7 @@
 pub use outbox::Outbox;
 pub use pace::Pace;
 pub use packing::{DecodeError, pack, unpack};
-pub use receiving::{PieceError, Receiving, Taken};
+pub use receiving::{PieceError, PieceOutcome, Receiving};
 pub use sending::Sending;
 
 use std::time::Duration;
--- a/crates/cherrystream-core/src/transfer/receiving.rs
+++ b/crates/cherrystream-core/src/transfer/receiving.rs
@@ -24,7 +24,7 @@
 
 /// Result of a valid piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum PieceOutcome {
     /// The transfer is not complete, or was handed out before. Holds the number of bytes received.
     Held(u64),
     /// The transfer is complete. Its content is handed out once.
@@ -61,7 +61,7 @@
     /// # Errors
     ///
     /// Fails if the piece is invalid, and discards its transfer.
-    pub fn take(&mut self, now: Timestamp, piece: &Piece) -> Result<Taken, PieceError> {
+    pub fn take(&mut self, now: Timestamp, piece: &Piece) -> Result<PieceOutcome, PieceError> {
         let taken = self.try_take(now, piece);
         if taken.is_err() {
             self.partials.remove(&piece.from);
@@ -69,7 +69,7 @@
         taken
     }
 
-    fn try_take(&mut self, now: Timestamp, piece: &Piece) -> Result<Taken, PieceError> {
+    fn try_take(&mut self, now: Timestamp, piece: &Piece) -> Result<PieceOutcome, PieceError> {
         if piece.total > self.max_bytes {
             return Err(PieceError::TooLong);
         }
@@ -116,14 +116,19 @@
         (self.transfer, self.total, self.checksum) == (piece.transfer, piece.total, piece.checksum)
     }
 
-    fn take(&mut self, now: Timestamp, offset: u64, data: &[u8]) -> Result<Taken, PieceError> {
+    fn take(
+        &mut self,
+        now: Timestamp,
+        offset: u64,
+        data: &[u8],
+    ) -> Result<PieceOutcome, PieceError> {
         if self.handed_out {
-            return Ok(Taken::Held(self.total));
+            return Ok(PieceOutcome::Held(self.total));
         }
         let held = self.bytes.len() as u64;
         // The piece was sent twice, or the transfer was discarded here.
         if offset != held {
-            return Ok(Taken::Held(held));
+            return Ok(PieceOutcome::Held(held));
         }
         if held + data.len() as u64 > self.total {
             return Err(PieceError::Unreadable);
@@ -133,12 +138,12 @@
         }
         self.bytes.extend_from_slice(data);
         if (self.bytes.len() as u64) < self.total {
-            return Ok(Taken::Held(self.bytes.len() as u64));
+            return Ok(PieceOutcome::Held(self.bytes.len() as u64));
         }
         if crc32fast::hash(&self.bytes) != self.checksum {
             return Err(PieceError::Checksum);
         }
         self.handed_out = true;
-        Ok(Taken::Whole(std::mem::take(&mut self.bytes)))
+        Ok(PieceOutcome::Whole(std::mem::take(&mut self.bytes)))
     }
 }
--- a/crates/cherrystream-core/tests/transfer/pieces.rs
+++ b/crates/cherrystream-core/tests/transfer/pieces.rs
@@ -1,7 +1,7 @@
 //! Sending and receiving ends of a transfer.
 
 use cherrystream_core::transfer::{
-    self, GIVE_UP, PARTIAL_TTL, Pace, PieceError, Receiving, Sending, Taken,
+    self, GIVE_UP, PARTIAL_TTL, Pace, PieceError, PieceOutcome, Receiving, Sending,
 };
 use cherrystream_core::units::Timestamp;
 use cherrystream_schema::messages::{RaftBody, RaftMessage};
@@ -22,8 +22,8 @@
 fn step(now: Timestamp, tx: &mut Sending, rx: &mut Receiving) -> Option<Vec<u8>> {
     let piece = tx.piece(PIECE, 1);
     match rx.take(now, &piece).unwrap() {
-        Taken::Held(held) => tx.on_reply(now, held),
-        Taken::Whole(whole) => {
+        PieceOutcome::Held(held) => tx.on_reply(now, held),
+        PieceOutcome::Whole(whole) => {
             tx.on_reply(now, piece.total);
             return Some(whole);
         }
@@ -59,8 +59,8 @@
         step(at(0), &mut tx, &mut rx);
     }
     let last = tx.piece(PIECE, 1);
-    assert!(matches!(rx.take(at(0), &last), Ok(Taken::Whole(_))));
-    assert_eq!(rx.take(at(0), &last), Ok(Taken::Held(last.total)));
+    assert!(matches!(rx.take(at(0), &last), Ok(PieceOutcome::Whole(_))));
+    assert_eq!(rx.take(at(0), &last), Ok(PieceOutcome::Held(last.total)));
 }
 
 #[test]
