--- a/crates/cherrystream-bench/src/light.rs
+++ b/crates/cherrystream-bench/src/light.rs
@@ -1,7 +1,7 @@
 //! Light daemons: each only keeps its heartbeat and fetches what control offers, as a daemon does.
 
 use cherrystream_core::distribution::{ChunkOutcome, Download};
-use cherrystream_core::transfer::Pace;
+use cherrystream_core::transfer::PieceSize;
 use cherrystream_net::chunks;
 use cherrystream_net::clock::Clock;
 use cherrystream_net::rpc::{self, ControlRpcClient};
@@ -130,7 +130,7 @@
     async fn fetch(&self, offer: Offer) -> Option<Revision> {
         let clock = Clock::default();
         let mut download = Download::new(clock.now(), offer.id, WITHIN)?;
-        let mut pace = Pace::default();
+        let mut piece_size = PieceSize::default();
         let mut chunk = offer.first;
         loop {
             if let Some(chunk) = &chunk {
@@ -144,14 +144,14 @@
             let req = ChunkRequest {
                 id: offer.id,
                 offset: download.received(),
-                bytes: pace.bytes() as u64,
+                bytes: piece_size.bytes() as u64,
                 host: self.record.host.clone(),
                 failure_domain: self.record.failure_domain.clone(),
             };
             self.count(&req);
             let asked = clock.now();
             let reply = self.client.chunk(req).await.ok()?;
-            pace.on_reply(clock.now().since(asked));
+            piece_size.on_reply(clock.now().since(asked));
             self.count(&reply);
             chunk = Some(reply.chunk?);
         }
--- a/crates/cherrystream-bench/src/spread/after/host.rs
+++ b/crates/cherrystream-bench/src/spread/after/host.rs
@@ -2,7 +2,7 @@
 
 use super::{Served, WAIT};
 use cherrystream_core::distribution::{ChunkOutcome, Download, EncodedUpdate};
-use cherrystream_core::transfer::Pace;
+use cherrystream_core::transfer::PieceSize;
 use cherrystream_core::units::{Revision, Timestamp};
 use cherrystream_net::chunks;
 use cherrystream_schema::messages::{
@@ -45,7 +45,7 @@
     record: HostRecord,
     within: Duration,
     job: Option<Job>,
-    pace: Pace,
+    piece_size: PieceSize,
     asked: Option<Asked>,
     fetched: Option<EncodedUpdate>,
 }
@@ -62,7 +62,7 @@
             record,
             within,
             job: None,
-            pace: Pace::default(),
+            piece_size: PieceSize::default(),
             asked: None,
             fetched: None,
         }
@@ -135,7 +135,7 @@
         let req = ChunkRequest {
             id: job.download.id(),
             offset: job.download.received(),
-            bytes: self.pace.bytes() as u64,
+            bytes: self.piece_size.bytes() as u64,
             host: self.record.host.clone(),
             failure_domain: self.record.failure_domain.clone(),
         };
@@ -151,7 +151,7 @@
         self.ask += 1;
         let Some(asked) = self.asked.take() else { return (Duration::ZERO, false) };
         let took = now.since(asked.at);
-        self.pace.on_reply(took);
+        self.piece_size.on_reply(took);
         let whole = self.take(now, asked.id, asked.offset, data);
         let job = self.job.as_ref();
         let rest = job.map_or(Duration::ZERO, |job| job.download.rest(now, data.len(), took));
@@ -161,7 +161,7 @@
     /// Notes that the chunk that was asked for does not come, and returns how long to pause.
     pub fn on_no_chunk(&mut self) -> Duration {
         self.ask += 1;
-        self.pace.on_failure();
+        self.piece_size.on_failure();
         let Some(asked) = self.asked.take().and_then(|asked| asked.peer) else { return PAUSE };
         if let Some(job) = &mut self.job {
             job.peers.retain(|peer| *peer != asked);
--- a/crates/cherrystream-bench/src/spread/mod.rs
+++ b/crates/cherrystream-bench/src/spread/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! No sockets and no clock: events in the order of their times, over modelled links. What decides is the system's
 //! own code: `control::distribution` (with core's `FetchScheduler`, `UpdateCache` and `EncodedUpdate`) at the replicas, core's
-//! `Download` and `Pace` at the hosts. The loops around them (a daemon's heartbeat and its downloads, a replica's
+//! `Download` and `PieceSize` at the hosts. The loops around them (a daemon's heartbeat and its downloads, a replica's
 //! wait) are written again here after `daemon::sync` and `control::rpc_server`.
 //!
 //! Assumptions:
--- a/crates/cherrystream-control/src/peers.rs
+++ b/crates/cherrystream-control/src/peers.rs
@@ -3,7 +3,7 @@
 use crate::handle::COMMIT_TIMEOUT;
 use crate::metrics::Metrics;
 use crate::queue::Queue;
-use cherrystream_core::transfer::{self, Pace, Sending};
+use cherrystream_core::transfer::{self, PieceSize, Sending};
 use cherrystream_net::key::Secret;
 use cherrystream_net::rpc::{self, ControlRpcClient};
 use cherrystream_schema::messages::{PieceReply, RaftMessage};
@@ -107,7 +107,7 @@
 
 /// Sends long messages in pieces, on a connection of their own: what is short never waits for them.
 async fn send_long(own: u64, line: Line, queue: Arc<Queue>) {
-    let mut pace = Pace::default();
+    let mut piece_size = PieceSize::default();
     loop {
         let msg = queue.next_long().await;
         let content = match task::spawn_blocking(move || transfer::pack(&msg)).await {
@@ -123,7 +123,7 @@
         };
         let mut sending = Sending::new(own, rand::random(), content, queue.clock().now());
         let start = Instant::now();
-        let arrived = send_pieces(&line, &queue, &mut sending, &mut pace).await;
+        let arrived = send_pieces(&line, &queue, &mut sending, &mut piece_size).await;
         let (bytes, address) = (sending.total(), line.address());
         if arrived {
             log::debug!("control: {bytes} bytes reached {address} in {:?}", start.elapsed());
@@ -133,20 +133,25 @@
 }
 
 /// Sends the pieces of a transfer; returns whether all arrived.
-async fn send_pieces(line: &Line, queue: &Queue, sending: &mut Sending, pace: &mut Pace) -> bool {
+async fn send_pieces(
+    line: &Line,
+    queue: &Queue,
+    sending: &mut Sending,
+    piece_size: &mut PieceSize,
+) -> bool {
     while !sending.is_done() {
         let Some(term) = queue.wants_long(sending.share_left()) else {
             log::debug!("control: a transfer to {} is of no use any more", line.address());
             return false;
         };
         let sent = Instant::now();
-        match send_piece(line, sending, pace.bytes(), term).await {
+        match send_piece(line, sending, piece_size.bytes(), term).await {
             Some(reply) => {
-                pace.on_reply(sent.elapsed());
+                piece_size.on_reply(sent.elapsed());
                 sending.on_reply(queue.clock().now(), reply.held);
             }
             None => {
-                pace.on_failure();
+                piece_size.on_failure();
                 tokio::time::sleep(RECONNECT).await;
             }
         }
--- a/crates/cherrystream-core/src/transfer/mod.rs
+++ b/crates/cherrystream-core/src/transfer/mod.rs
@@ -3,19 +3,19 @@
 //! A message whose size grows with the state is sent in pieces, with lower priority than short
 //! messages. A transfer resumes after a connection breaks and fails only after a time without
 //! progress. [`Outbox`] queues the messages to one replica, [`Sending`] and [`Receiving`] are the
-//! two ends of a transfer, and [`Pace`] limits the size of pieces so that they do not delay
+//! two ends of a transfer, and [`PieceSize`] limits the size of pieces so that they do not delay
 //! heartbeats.
 
 mod content;
 mod outbox;
-mod pace;
 mod packing;
+mod piece_size;
 mod receiving;
 mod sending;
 
 pub use outbox::Outbox;
-pub use pace::Pace;
 pub use packing::{DecodeError, pack, unpack};
+pub use piece_size::PieceSize;
 pub use receiving::{PieceError, PieceOutcome, Receiving};
 pub use sending::Sending;
 
--- a/crates/cherrystream-core/src/transfer/pace.rs
+++ b/crates/cherrystream-core/src/transfer/piece_size.rs
@@ -15,17 +15,17 @@
 
 /// Size of pieces, adapted to the time that recent ones took.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace {
+pub struct PieceSize {
     bytes: usize,
 }
 
-impl Default for Pace {
+impl Default for PieceSize {
     fn default() -> Self {
-        Pace { bytes: INITIAL_BYTES }
+        PieceSize { bytes: INITIAL_BYTES }
     }
 }
 
-impl Pace {
+impl PieceSize {
     /// Returns the size of the next piece in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
--- a/crates/cherrystream-core/tests/transfer/pieces.rs
+++ b/crates/cherrystream-core/tests/transfer/pieces.rs
@@ -1,7 +1,7 @@
 //! Sending and receiving ends of a transfer.
 
 use cherrystream_core::transfer::{
-    self, GIVE_UP, PARTIAL_TTL, Pace, PieceError, PieceOutcome, Receiving, Sending,
+    self, GIVE_UP, PARTIAL_TTL, PieceError, PieceOutcome, PieceSize, Receiving, Sending,
 };
 use cherrystream_core::units::Timestamp;
 use cherrystream_schema::messages::{RaftBody, RaftMessage};
@@ -136,22 +136,22 @@
 
 #[test]
 fn the_size_of_pieces_adapts_to_the_link() {
-    let mut pace = Pace::default();
-    let first = pace.bytes();
-    pace.on_reply(Duration::from_millis(1));
-    assert_eq!(pace.bytes(), first * 2);
-    pace.on_reply(Duration::from_millis(100));
-    assert_eq!(pace.bytes(), first * 2);
-    pace.on_reply(Duration::from_millis(500));
-    assert_eq!(pace.bytes(), first);
+    let mut piece_size = PieceSize::default();
+    let first = piece_size.bytes();
+    piece_size.on_reply(Duration::from_millis(1));
+    assert_eq!(piece_size.bytes(), first * 2);
+    piece_size.on_reply(Duration::from_millis(100));
+    assert_eq!(piece_size.bytes(), first * 2);
+    piece_size.on_reply(Duration::from_millis(500));
+    assert_eq!(piece_size.bytes(), first);
     for _ in 0..20 {
-        pace.on_failure();
+        piece_size.on_failure();
     }
-    assert_eq!(pace.bytes(), 4 * 1024);
+    assert_eq!(piece_size.bytes(), 4 * 1024);
     for _ in 0..20 {
-        pace.on_reply(Duration::from_millis(1));
+        piece_size.on_reply(Duration::from_millis(1));
     }
-    assert_eq!(pace.bytes(), 256 * 1024);
+    assert_eq!(piece_size.bytes(), 256 * 1024);
 }
 
 #[test]
--- a/crates/cherrystream-daemon/src/sync/downloads.rs
+++ b/crates/cherrystream-daemon/src/sync/downloads.rs
@@ -5,7 +5,7 @@
 use crate::metrics::{Metrics, ReasonLabel};
 use crate::peer::Peers;
 use cherrystream_core::distribution::{ChunkOutcome, Download, EncodedUpdate, UpdateCache};
-use cherrystream_core::transfer::Pace;
+use cherrystream_core::transfer::PieceSize;
 use cherrystream_core::units::{Dotted, Revision, Timestamp};
 use cherrystream_net::body::{self, Start};
 use cherrystream_net::chunks;
@@ -177,9 +177,9 @@
 
     /// Fetches whatever is to be fetched, for as long as the process runs.
     pub async fn run(self: Arc<Self>) {
-        let mut pace = Pace::default();
+        let mut piece_size = PieceSize::default();
         loop {
-            let Some((req, source)) = self.next(&pace) else {
+            let Some((req, source)) = self.next(&piece_size) else {
                 self.begun.notified().await;
                 continue;
             };
@@ -187,13 +187,13 @@
             match self.chunk(&req, &source).await {
                 Ok(data) => {
                     let took = asked.elapsed();
-                    pace.on_reply(took);
+                    piece_size.on_reply(took);
                     self.count_bytes(&source, data.len());
                     self.take(req.id, req.offset, &data);
                     tokio::time::sleep(self.rest(data.len(), took)).await;
                 }
                 Err(what) => {
-                    pace.on_failure();
+                    piece_size.on_failure();
                     self.on_no_chunk(&req.id, &source, what);
                     if source == Source::Control {
                         tokio::time::sleep(PAUSE).await;
@@ -204,7 +204,7 @@
     }
 
     /// Returns the next chunk to ask for, and whom.
-    fn next(&self, pace: &Pace) -> Option<(ChunkRequest, Source)> {
+    fn next(&self, piece_size: &PieceSize) -> Option<(ChunkRequest, Source)> {
         let mut job = self.job.lock();
         let held = self.tools.held.revision();
         // What is held may have come another way meanwhile.
@@ -215,7 +215,7 @@
         let req = ChunkRequest {
             id: job.download.id(),
             offset: job.download.received(),
-            bytes: pace.bytes() as u64,
+            bytes: piece_size.bytes() as u64,
             host: self.tools.record.host.clone(),
             failure_domain: self.tools.record.failure_domain.clone(),
         };
