--- a/crates/cherrystream-control/src/peers.rs
+++ b/crates/cherrystream-control/src/peers.rs
@@ -155,12 +155,12 @@
                 tokio::time::sleep(RECONNECT).await;
             }
         }
-        if !sending.is_done() && sending.is_hopeless(queue.clock().now()) {
+        if !sending.is_done() && sending.is_stalled(queue.clock().now()) {
             log::warn!(
                 "control: a transfer of {} bytes to {} made no progress for {:?} and is given up",
                 sending.total(),
                 line.address(),
-                transfer::GIVE_UP
+                transfer::STALL_TIMEOUT
             );
             return false;
         }
--- a/crates/cherrystream-core/src/transfer/mod.rs
+++ b/crates/cherrystream-core/src/transfer/mod.rs
@@ -23,6 +23,6 @@
 
 /// Time without progress after which the sender aborts a transfer. It is longer than the time until
 /// an unreachable replica is replaced.
-pub const GIVE_UP: Duration = Duration::from_secs(30);
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time without progress after which the receiver discards a transfer, later than the sender.
 pub const PARTIAL_TTL: Duration = Duration::from_secs(60);
--- a/crates/cherrystream-core/src/transfer/sending.rs
+++ b/crates/cherrystream-core/src/transfer/sending.rs
@@ -1,6 +1,6 @@
 //! Sending end of a transfer.
 
-use super::GIVE_UP;
+use super::STALL_TIMEOUT;
 use crate::units::Timestamp;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
@@ -57,8 +57,8 @@
     }
 
     /// Returns whether the transfer has made no progress for too long.
-    pub fn is_hopeless(&self, now: Timestamp) -> bool {
-        now.since(self.progressed) >= GIVE_UP
+    pub fn is_stalled(&self, now: Timestamp) -> bool {
+        now.since(self.progressed) >= STALL_TIMEOUT
     }
 
     /// Returns the share of the content that is not acknowledged.
--- a/crates/cherrystream-core/tests/transfer/pieces.rs
+++ b/crates/cherrystream-core/tests/transfer/pieces.rs
@@ -1,7 +1,7 @@
 //! Sending and receiving ends of a transfer.
 
 use cherrystream_core::transfer::{
-    self, GIVE_UP, PARTIAL_TTL, PieceError, PieceOutcome, PieceSize, Receiving, Sending,
+    self, PARTIAL_TTL, PieceError, PieceOutcome, PieceSize, Receiving, STALL_TIMEOUT, Sending,
 };
 use cherrystream_core::units::Timestamp;
 use cherrystream_schema::messages::{RaftBody, RaftMessage};
@@ -83,9 +83,9 @@
     tx.on_reply(at(1_000), 3_000);
     for second in 2..31 {
         tx.on_reply(at(second * 1_000), if second % 2 == 0 { 0 } else { 3_000 });
-        assert!(!tx.is_hopeless(at(second * 1_000)));
+        assert!(!tx.is_stalled(at(second * 1_000)));
     }
-    assert!(tx.is_hopeless(at(1_000) + GIVE_UP));
+    assert!(tx.is_stalled(at(1_000) + STALL_TIMEOUT));
 }
 
 #[test]
