--- a/crates/cherrystream-control/src/arrivals.rs
+++ b/crates/cherrystream-control/src/arrivals.rs
@@ -77,14 +77,14 @@
 
     /// Forgets messages that make no progress.
     pub fn tidy(&self, now: Timestamp) {
-        self.receiving.lock().tidy(now);
+        self.receiving.lock().discard_stalled(now);
     }
 
     fn hand_on(&self, content: &[u8], piece: &Piece) -> Result<(), ArrivalFault> {
         let read = read(content, piece);
         if let Err(e) = &read {
             log::warn!("control: a long message of replica {} is refused: {e}", piece.from);
-            self.receiving.lock().forget(piece.from);
+            self.receiving.lock().discard(piece.from);
         }
         let sent = self.events.send(Event::Messages(vec![read?]));
         sent.map_err(|_| ArrivalFault::Stopped)
--- a/crates/cherrystream-control/src/queue.rs
+++ b/crates/cherrystream-control/src/queue.rs
@@ -80,7 +80,7 @@
     /// still wanted, and in which term.
     pub(crate) fn wants_long(&self, share_left: f64) -> Option<u64> {
         let mut outbox = self.outbox.lock();
-        outbox.note_left(share_left);
+        outbox.set_share_left(share_left);
         (!outbox.is_abandoned()).then(|| outbox.term())
     }
 
--- a/crates/cherrystream-core/src/transfer/outbox.rs
+++ b/crates/cherrystream-core/src/transfer/outbox.rs
@@ -121,7 +121,7 @@
     }
 
     /// Records the share of the transfer in flight that is not sent yet.
-    pub fn note_left(&mut self, share: f64) {
+    pub fn set_share_left(&mut self, share: f64) {
         if let Some(in_flight) = &mut self.in_flight {
             in_flight.share_left = share;
         }
--- a/crates/cherrystream-core/src/transfer/receiving.rs
+++ b/crates/cherrystream-core/src/transfer/receiving.rs
@@ -85,12 +85,12 @@
     }
 
     /// Discards the transfer of a sender, which then starts again.
-    pub fn forget(&mut self, from: u64) {
+    pub fn discard(&mut self, from: u64) {
         self.partials.remove(&from);
     }
 
     /// Discards transfers without progress.
-    pub fn tidy(&mut self, now: Timestamp) {
+    pub fn discard_stalled(&mut self, now: Timestamp) {
         self.partials.retain(|_, p| now.since(p.progressed) < PARTIAL_TTL);
     }
 
--- a/crates/cherrystream-core/tests/transfer/lanes.rs
+++ b/crates/cherrystream-core/tests/transfer/lanes.rs
@@ -202,7 +202,7 @@
 fn a_newer_snapshot_replaces_one_in_flight_only_if_it_completes_sooner() {
     let mut outbox = outbox(vec![snapshot(1, 50, LONG)]);
     outbox.take_long();
-    outbox.note_left(0.5);
+    outbox.set_share_left(0.5);
     outbox.push(START, snapshot(1, 60, LONG));
     assert!(!outbox.is_abandoned());
     assert_eq!(outbox.snapshot_index(START), Some(50));
--- a/crates/cherrystream-core/tests/transfer/pieces.rs
+++ b/crates/cherrystream-core/tests/transfer/pieces.rs
@@ -130,7 +130,7 @@
     announced.total = LIMIT;
     rx.take(at(0), &announced).unwrap();
     assert!(rx.bytes() <= 2 * PIECE, "{}", rx.bytes());
-    rx.tidy(at(0) + PARTIAL_TTL);
+    rx.discard_stalled(at(0) + PARTIAL_TTL);
     assert_eq!(rx.bytes(), 0);
 }
 
