--- a/crates/cherrystream-core/src/choose/mod.rs
+++ b/crates/cherrystream-core/src/choose/mod.rs
@@ -14,15 +14,15 @@
 use std::time::Duration;
 
 /// Backend servers of one service with the state that an outbound keeps for each.
-pub struct Table {
+pub struct ServerTable {
     servers: Vec<Server>,
     choose: Box<dyn Choose + Send>,
 }
 
-impl Table {
+impl ServerTable {
     /// Creates an empty table with a policy.
-    pub fn new(choose: Box<dyn Choose + Send>) -> Table {
-        Table { servers: Vec::new(), choose }
+    pub fn new(choose: Box<dyn Choose + Send>) -> ServerTable {
+        ServerTable { servers: Vec::new(), choose }
     }
 
     /// Replaces the list of backend servers. Instances that remain keep their state.
--- a/crates/cherrystream-core/tests/decisions.rs
+++ b/crates/cherrystream-core/tests/decisions.rs
@@ -3,7 +3,7 @@
 mod session;
 
 use cherrystream_core::admission::{self, Admission, Arrival, Ticket};
-use cherrystream_core::choose::{self, Distance, ServerId, Table};
+use cherrystream_core::choose::{self, Distance, ServerId, ServerTable};
 use cherrystream_core::health::{Check, Health, ProbeBudget};
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::retry::{self, Allowance, Failed, RetryBudget};
@@ -97,13 +97,13 @@
         ChoicePolicy::LowestLoad,
     ] {
         let mut rng = SmallRng::seed_from_u64(7);
-        let mut table = Table::new(choose::policy(policy));
+        let mut table = ServerTable::new(choose::policy(policy));
         table.set_servers(vec![
             server("near", Distance::SameDomain),
             server("far", Distance::SameRegion),
             server("faulty", Distance::SameRegion),
         ]);
-        let mut choose_60 = |table: &mut Table, now: u64| {
+        let mut choose_60 = |table: &mut ServerTable, now: u64| {
             let mut chosen = std::collections::BTreeMap::new();
             for _ in 0..60 {
                 let id = table.choose(ms(now), &mut rng, &[]).unwrap();
--- a/crates/cherrystream-core/tests/offers.rs
+++ b/crates/cherrystream-core/tests/offers.rs
@@ -1,6 +1,6 @@
 //! Choice of the backend server that a request is offered to first.
 
-use cherrystream_core::choose::{self, Distance, Nearby, ServerId, Table};
+use cherrystream_core::choose::{self, Distance, Nearby, ServerId, ServerTable};
 use cherrystream_core::units::Timestamp;
 use cherrystream_schema::messages::{Report, ServerState};
 use cherrystream_schema::settings::ChoicePolicy;
@@ -38,13 +38,13 @@
     }
 }
 
-fn table(ids: Vec<ServerId>) -> Table {
-    let mut table = Table::new(choose::policy(ChoicePolicy::LowestLoad));
+fn table(ids: Vec<ServerId>) -> ServerTable {
+    let mut table = ServerTable::new(choose::policy(ChoicePolicy::LowestLoad));
     table.set_servers(ids);
     table
 }
 
-fn offered(table: &mut Table, at: u64) -> Option<String> {
+fn offered(table: &mut ServerTable, at: u64) -> Option<String> {
     let mut rng = SmallRng::seed_from_u64(1);
     table.choose_free(ms(at), &mut rng, &[], "order").map(|id| id.name.to_string())
 }
@@ -124,7 +124,7 @@
     assert_eq!(offered(&mut table, 1_001).as_deref(), Some("far"));
 }
 
-fn waits_near(table: &mut Table, at: u64, within: u64) -> Option<String> {
+fn waits_near(table: &mut ServerTable, at: u64, within: u64) -> Option<String> {
     let mut rng = SmallRng::seed_from_u64(1);
     let within = Duration::from_millis(within);
     let near = table.choose_near_within(ms(at), &mut rng, &[], "order", within);
@@ -165,7 +165,8 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut table =
         table(vec![server("near", Distance::SameDomain), server("far", Distance::SameRegion)]);
-    let mut nearby = |table: &mut Table, at| table.choose_nearby(ms(at), &mut rng, &[], "upload");
+    let mut nearby =
+        |table: &mut ServerTable, at| table.choose_nearby(ms(at), &mut rng, &[], "upload");
     let name = |nearby: Nearby| match nearby {
         Nearby::Free(server) => Some(server.name.to_string()),
         _ => None,
--- a/crates/cherrystream-daemon/src/outbound/listing.rs
+++ b/crates/cherrystream-daemon/src/outbound/listing.rs
@@ -2,7 +2,7 @@
 
 use super::{Choosing, HEDGES_SAVED, Outbound};
 use crate::held::Held;
-use cherrystream_core::choose::{self, Distance, ServerId, Table};
+use cherrystream_core::choose::{self, Distance, ServerId, ServerTable};
 use cherrystream_core::retry::RetryBudget;
 use cherrystream_core::routes::RouteIndex;
 use cherrystream_core::shared;
@@ -27,7 +27,7 @@
         tables.retain(|service, _| lists.contains_key(service));
         for (service, ids) in lists {
             let table = tables.entry(service.clone()).or_insert_with(|| {
-                let table = Table::new(choose::policy(self.policy));
+                let table = ServerTable::new(choose::policy(self.policy));
                 let rng = SmallRng::seed_from_u64(rand::random());
                 let budget = RetryBudget::new(self.retries.share);
                 let hedges = RetryBudget::new(self.retries.hedge_share);
--- a/crates/cherrystream-daemon/src/outbound/mod.rs
+++ b/crates/cherrystream-daemon/src/outbound/mod.rs
@@ -24,7 +24,7 @@
 use crate::request_log::{RequestLog, RequestSummary};
 use crate::suspects::SuspectWatch;
 use crate::sync::Newer;
-use cherrystream_core::choose::{Server, Table};
+use cherrystream_core::choose::{Server, ServerTable};
 use cherrystream_core::elapsed_time::ElapsedTimeEstimator;
 use cherrystream_core::reasons::{Outcome, Reason};
 use cherrystream_core::retry::{self, RetryBudget};
@@ -50,7 +50,7 @@
 
 /// A table with the random numbers of its choices.
 pub(crate) struct Choosing {
-    table: Table,
+    table: ServerTable,
     /// The version under trial, where there is one.
     trial: Option<Trial>,
     rng: SmallRng,
--- a/crates/cherrystream-daemon/src/outbound/regions.rs
+++ b/crates/cherrystream-daemon/src/outbound/regions.rs
@@ -2,7 +2,7 @@
 
 use super::Outbound;
 use super::request::Call;
-use cherrystream_core::choose::{ServerId, Table};
+use cherrystream_core::choose::{ServerId, ServerTable};
 use cherrystream_schema::messages::Shared;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -34,7 +34,7 @@
 
 impl Outbound {
     /// Returns the backend servers of a table at which a request may not be served.
-    pub(super) fn barred(&self, call: &Call, table: &Table) -> Vec<Arc<str>> {
+    pub(super) fn barred(&self, call: &Call, table: &ServerTable) -> Vec<Arc<str>> {
         if call.regions.0.is_none() {
             return Vec::new();
         }
--- a/crates/cherrystream-daemon/src/outbound/trials.rs
+++ b/crates/cherrystream-daemon/src/outbound/trials.rs
@@ -2,7 +2,7 @@
 
 use super::request::Call;
 use super::{Choosing, Outbound};
-use cherrystream_core::choose::{self, ServerId, Table};
+use cherrystream_core::choose::{self, ServerId, ServerTable};
 use cherrystream_core::rollout::{self, Exposure};
 use cherrystream_core::units::Timestamp;
 use cherrystream_schema::messages::{Rollout, Shared};
@@ -19,7 +19,7 @@
 
 /// The backend servers of a version under trial.
 pub(crate) struct Trial {
-    pub(super) table: Table,
+    pub(super) table: ServerTable,
     /// Share of the requests that it is offered.
     exposure: f64,
 }
@@ -37,7 +37,7 @@
             self.trial = None;
             return;
         };
-        let table = || Table::new(choose::policy(policy));
+        let table = || ServerTable::new(choose::policy(policy));
         let trial = self.trial.get_or_insert_with(|| Trial { table: table(), exposure });
         trial.exposure = exposure;
         trial.table.set_servers(ids);
