--- a/crates/cherrystream-core/src/choose/mod.rs
+++ b/crates/cherrystream-core/src/choose/mod.rs
@@ -5,7 +5,7 @@
 mod server;
 
 pub use policies::{Choose, policy};
-pub use server::{Distance, Sent, Server, ServerId};
+pub use server::{CallId, Distance, Server, ServerId};
 
 use crate::suspects::{self, Fingerprint};
 use crate::units::Timestamp;
--- a/crates/cherrystream-core/src/choose/server.rs
+++ b/crates/cherrystream-core/src/choose/server.rs
@@ -100,7 +100,7 @@
 
 /// Identifier of a call in flight to a backend server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sent(u64);
+pub struct CallId(u64);
 
 impl Server {
     pub(super) fn new(id: ServerId) -> Server {
@@ -120,15 +120,15 @@
     }
 
     /// Records that a call is sent.
-    pub fn on_sent(&mut self, now: Timestamp) -> Sent {
+    pub fn on_sent(&mut self, now: Timestamp) -> CallId {
         self.next_call += 1;
         self.started_since_report += 1;
         self.in_flight.insert(self.next_call, now);
-        Sent(self.next_call)
+        CallId(self.next_call)
     }
 
     /// Records the end of a call, whatever its result.
-    pub fn on_ended(&mut self, sent: Sent) {
+    pub fn on_ended(&mut self, sent: CallId) {
         self.in_flight.remove(&sent.0);
     }
 
--- a/crates/cherrystream-daemon/src/outbound/send.rs
+++ b/crates/cherrystream-daemon/src/outbound/send.rs
@@ -11,7 +11,7 @@
 use crate::refusal::Refused;
 use crate::sync::Seen;
 use cherrystream_core::attempts::{Claimed, RequestKey};
-use cherrystream_core::choose::{Distance, Sent, Server, ServerId};
+use cherrystream_core::choose::{CallId, Distance, Server, ServerId};
 use cherrystream_core::reasons::{Outcome, Reason};
 use cherrystream_core::reservations::Reservation;
 use cherrystream_core::units;
@@ -293,7 +293,7 @@
     outbound: &'a Outbound,
     service: Arc<str>,
     server: Arc<str>,
-    sent: Option<Sent>,
+    sent: Option<CallId>,
 }
 
 impl Flight<'_> {
