--- a/crates/cherrystream-core/src/choose/mod.rs
+++ b/crates/cherrystream-core/src/choose/mod.rs
@@ -118,7 +118,7 @@
     /// # Errors
     ///
     /// Fails if all queues are considered full, with the time until the first may have space.
-    pub fn choose_open(
+    pub fn choose_not_full(
         &mut self,
         now: Timestamp,
         rng: &mut SmallRng,
@@ -145,7 +145,7 @@
     ///
     /// The choice is deterministic: daemons with the same list that consider the same servers
     /// available choose the same one.
-    pub fn choose_alone(
+    pub fn choose_isolated(
         &self,
         now: Timestamp,
         request: Fingerprint,
--- a/crates/cherrystream-core/tests/offers.rs
+++ b/crates/cherrystream-core/tests/offers.rs
@@ -105,14 +105,14 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let full = Duration::from_millis(40);
     table.server("a").unwrap().on_full(ms(1_000), "order", full);
-    let open = table.choose_open(ms(1_001), &mut rng, &[], "order");
+    let open = table.choose_not_full(ms(1_001), &mut rng, &[], "order");
     assert_eq!(open.unwrap().unwrap().name.as_ref(), "b");
     table.server("b").unwrap().on_full(ms(1_005), "order", full);
-    let open = table.choose_open(ms(1_006), &mut rng, &[], "order");
+    let open = table.choose_not_full(ms(1_006), &mut rng, &[], "order");
     assert_eq!(open, Err(Duration::from_millis(34)));
-    let open = table.choose_open(ms(1_006), &mut rng, &[], "call");
+    let open = table.choose_not_full(ms(1_006), &mut rng, &[], "call");
     assert!(open.unwrap().is_some());
-    let open = table.choose_open(ms(1_041), &mut rng, &[], "order");
+    let open = table.choose_not_full(ms(1_041), &mut rng, &[], "order");
     assert_eq!(open.unwrap().unwrap().name.as_ref(), "a");
 }
 
--- a/crates/cherrystream-daemon/src/outbound/choosing.rs
+++ b/crates/cherrystream-daemon/src/outbound/choosing.rs
@@ -73,7 +73,7 @@
             return Err(Refused::new(Reason::RegionNotAllowed));
         }
         if call.alone {
-            let server = table.choose_alone(now, call.identity.request, &barred);
+            let server = table.choose_isolated(now, call.identity.request, &barred);
             let server = server.ok_or(Refused::new(Reason::NoBackendServer))?;
             call.tried.push(server.name.clone());
             return Ok(server);
@@ -101,7 +101,7 @@
             None => {
                 // None has room: it takes what it gets, from one that has not failed it yet.
                 call.selective_offers = 0;
-                let open = table.choose_open(now, rng, &tried, kind);
+                let open = table.choose_not_full(now, rng, &tried, kind);
                 let open = open.map_err(|retry_after| Refused {
                     retry_after,
                     ..Refused::new(Reason::QueueTooLong)
