--- a/crates/cherrystream-core/src/kinds.rs
+++ b/crates/cherrystream-core/src/kinds.rs
@@ -10,7 +10,7 @@
 
 /// Properties of a request that decide how it is balanced.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Treatment {
+pub struct RequestClass {
     /// Name of the kind, or `other`.
     pub kind: String,
     /// Whether the request may run more than once.
@@ -25,7 +25,7 @@
 
 /// Returns the properties of a request: those of the matching kind with the longest path prefix,
 /// else defaults for its method.
-pub fn treatment(service: &messages::Service, method: &str, path: &str) -> Treatment {
+pub fn classify(service: &messages::Service, method: &str, path: &str) -> RequestClass {
     let matches = |kind: &messages::Kind| {
         kind.method.eq_ignore_ascii_case(method) && path.starts_with(&kind.path_prefix)
     };
@@ -35,19 +35,19 @@
         .filter(|(_, kind)| matches(kind))
         .max_by_key(|(_, kind)| kind.path_prefix.len());
     match found {
-        Some((name, kind)) => Treatment {
+        Some((name, kind)) => RequestClass {
             kind: name.clone(),
             repeatable: kind.repeatable,
             needs_key: !kind.repeatable,
             weight: kind.weight,
             deadline: Duration::from_millis(kind.deadline_ms),
         },
-        None => default_treatment(method),
+        None => default_class(method),
     }
 }
 
-fn default_treatment(method: &str) -> Treatment {
-    Treatment {
+fn default_class(method: &str) -> RequestClass {
+    RequestClass {
         kind: "other".into(),
         repeatable: matches!(method, "GET" | "HEAD"),
         needs_key: false,
--- a/crates/cherrystream-daemon/src/outbound/aim.rs
+++ b/crates/cherrystream-daemon/src/outbound/aim.rs
@@ -5,7 +5,7 @@
 use crate::headers;
 use crate::held::Held;
 use crate::refusal::Refused;
-use cherrystream_core::kinds::{self, Treatment};
+use cherrystream_core::kinds::{self, RequestClass};
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::routes::{NamedRoute, RouteIndex};
 use cherrystream_core::workspaces::ApiKey;
@@ -36,14 +36,14 @@
 ) -> Result<Aimed, Refused> {
     let head = caller.map_err(Refused::new)?;
     let aim = find_aim(outbound, held, parts, head.key.as_ref())?;
-    let key = read_key(&parts.headers, &aim.treatment)?;
+    let key = read_key(&parts.headers, &aim.class)?;
     Ok(Aimed { head, aim, key, uri: target(parts)? })
 }
 
 /// Where a request goes, and how it is treated.
 pub(super) struct Aim {
     pub(super) service: Arc<str>,
-    pub(super) treatment: Treatment,
+    pub(super) class: RequestClass,
     pub(super) route: Option<Arc<NamedRoute>>,
     pub(super) member: Option<Member>,
     /// Whether no key and no word of the caller on its workspace goes on. Where no workspace knows the caller and none has
@@ -76,9 +76,9 @@
     let admitted = admit(&routes, key, false)?;
     let service =
         held.shared.config.services.get(name).ok_or(Refused::new(Reason::NoSuchService))?;
-    let treatment = kinds::treatment(service, parts.method.as_str(), parts.uri.path());
+    let class = kinds::classify(service, parts.method.as_str(), parts.uri.path());
     let Admitted { member, strips_key } = admitted;
-    Ok(Aim { service: name.into(), treatment, route: None, member, strips_key })
+    Ok(Aim { service: name.into(), class, route: None, member, strips_key })
 }
 
 fn routed(
@@ -91,14 +91,14 @@
     let priority = of_workspace.unwrap_or(route.route.priority);
     let weight = HIGHEST_PRIORITY_WEIGHT.saturating_sub(priority).max(1);
     let service = route.pick(&mut rand::rng()).ok_or(Refused::new(Reason::NoSuchService))?;
-    let treatment = Treatment {
+    let class = RequestClass {
         kind: route.name.to_string(),
         repeatable: route.route.repeatable,
         needs_key: false,
         weight,
         deadline: Duration::from_micros(route.route.timeout_us),
     };
-    Ok(Aim { service: service.into(), treatment, route: Some(route.clone()), member, strips_key })
+    Ok(Aim { service: service.into(), class, route: Some(route.clone()), member, strips_key })
 }
 
 /// A request that may come in.
@@ -152,8 +152,8 @@
 }
 
 /// Returns the key of a request that may not be repeated. Other requests' keys are not looked at.
-fn read_key(map: &HeaderMap, treatment: &Treatment) -> Result<Option<Arc<str>>, Refused> {
-    if !treatment.needs_key {
+fn read_key(map: &HeaderMap, class: &RequestClass) -> Result<Option<Arc<str>>, Refused> {
+    if !class.needs_key {
         return Ok(None);
     }
     if !map.contains_key(headers::IDEMPOTENCY_KEY) {
--- a/crates/cherrystream-daemon/src/outbound/choosing.rs
+++ b/crates/cherrystream-daemon/src/outbound/choosing.rs
@@ -38,7 +38,7 @@
             return self.choose(call).map(Next::Server);
         }
         let table = self.table(&call.service).ok_or(Refused::new(Reason::NoSuchService))?;
-        let kind = call.treatment.kind.as_str();
+        let kind = call.class.kind.as_str();
         let mut choosing = table.lock();
         let Choosing { table, rng, .. } = &mut *choosing;
         let mut avoided = self.barred(call, table);
@@ -81,7 +81,7 @@
         // When all were tried, the first may have a free slot by now.
         let tried: Vec<_> = barred.iter().chain(&call.tried).cloned().collect();
         let avoided: Vec<_> = tried.iter().chain(&call.busy).cloned().collect();
-        let kind = call.treatment.kind.as_str();
+        let kind = call.class.kind.as_str();
         let free = match call.is_selective() {
             true => table.choose_free(now, rng, &avoided, kind),
             false => None,
--- a/crates/cherrystream-daemon/src/outbound/request.rs
+++ b/crates/cherrystream-daemon/src/outbound/request.rs
@@ -9,7 +9,7 @@
 use crate::refusal::Refused;
 use crate::request_log::RequestSummary;
 use cherrystream_core::deadline::Deadline;
-use cherrystream_core::kinds::Treatment;
+use cherrystream_core::kinds::RequestClass;
 use cherrystream_core::quota::Charge;
 use cherrystream_core::reasons::{Outcome, Reason};
 use cherrystream_core::request_times::{RequestTimes, TimeInputs};
@@ -43,7 +43,7 @@
 pub(super) struct Call {
     pub(super) id: String,
     pub(super) service: Arc<str>,
-    pub(super) treatment: Treatment,
+    pub(super) class: RequestClass,
     pub(super) deadline: Deadline,
     pub(super) allowance: Allowance,
     pub(super) method: Method,
@@ -123,7 +123,7 @@
         Some(Call {
             id: self.id.clone(),
             service: self.service.clone(),
-            treatment: self.treatment.clone(),
+            class: self.class.clone(),
             deadline: self.deadline,
             allowance: self.allowance,
             method: self.method.clone(),
@@ -193,7 +193,7 @@
     pub(super) fn summary(&self) -> RequestSummary {
         RequestSummary {
             id: self.id.clone(),
-            kind: self.treatment.kind.clone(),
+            kind: self.class.kind.clone(),
             service: self.service.to_string(),
             workspace: self.workspace_name().cloned(),
             key: None,
@@ -236,8 +236,8 @@
         }
     };
     let Aimed { head, aim, key, uri } = aimed;
-    let Aim { service, treatment, route, member, strips_key } = aim;
-    let deadline = Deadline::new(outbound.clock.now(), head.time_left, treatment.deadline);
+    let Aim { service, class, route, member, strips_key } = aim;
+    let deadline = Deadline::new(outbound.clock.now(), head.time_left, class.deadline);
     let remaining = deadline.remaining(outbound.clock.now()).unwrap_or_default();
     let charging = charge(outbound, member.as_ref(), head.id.as_deref());
     let charged = tokio::time::timeout(remaining, charging).await;
@@ -269,7 +269,7 @@
     }
     .identity(&outbound.fingerprints);
     // An answer is in time by the clock of the caller, which may have asked before.
-    let elapsed = first_asked(outbound, &treatment, head.time_left);
+    let elapsed = first_asked(outbound, &class, head.time_left);
     let times = route.as_ref().map(|named| {
         RequestTimes::new(TimeInputs {
             now,
@@ -287,7 +287,7 @@
     Ok(Call {
         id: head.id.unwrap_or_else(|| format!("{:016x}", rand::random::<u64>())),
         service,
-        treatment,
+        class,
         deadline,
         allowance: Allowance::new(carried),
         method: parts.method.clone(),
@@ -341,13 +341,9 @@
 }
 
 /// Returns how long ago the caller first asked, as far as that can be told.
-fn first_asked(
-    outbound: &Outbound,
-    treatment: &Treatment,
-    time_left: Option<Duration>,
-) -> Duration {
+fn first_asked(outbound: &Outbound, class: &RequestClass, time_left: Option<Duration>) -> Duration {
     let Some(left) = time_left else { return Duration::ZERO };
-    let kind: Arc<str> = treatment.kind.as_str().into();
+    let kind: Arc<str> = class.kind.as_str().into();
     outbound.first_asked.lock().on_request(outbound.clock.now(), &kind, left)
 }
 
--- a/crates/cherrystream-daemon/src/outbound/reserving.rs
+++ b/crates/cherrystream-daemon/src/outbound/reserving.rs
@@ -28,7 +28,7 @@
 impl Outbound {
     /// Returns whether a request must be provably not run while its backend server's host says nothing.
     pub(super) fn must_prove(&self, call: &Call, server: &ServerId) -> bool {
-        let routed_once = call.times.is_some() && !call.treatment.repeatable;
+        let routed_once = call.times.is_some() && !call.class.repeatable;
         routed_once && *server.host != *self.host
     }
 
--- a/crates/cherrystream-daemon/src/outbound/retrying.rs
+++ b/crates/cherrystream-daemon/src/outbound/retrying.rs
@@ -41,7 +41,7 @@
         let failed = Failed {
             reason: refused.reason,
             attempts: call.attempts,
-            repeatable: call.treatment.repeatable,
+            repeatable: call.class.repeatable,
             replayable: call.body.is_replayable(),
             arrivals: call.arrivals,
             arrivals_at_most: call.arrivals_at_most,
--- a/crates/cherrystream-daemon/src/outbound/send.rs
+++ b/crates/cherrystream-daemon/src/outbound/send.rs
@@ -52,12 +52,12 @@
             Ok(_) => s.on_answer(took),
             Err(refused) if refused.reason.outcome() == Outcome::Unknown => s.on_error(now),
             Err(refused) if refused.reason == Reason::BusyNow => {
-                s.on_busy(now, &call.treatment.kind, refused.retry_after);
+                s.on_busy(now, &call.class.kind, refused.retry_after);
             }
             Err(refused) if is_queue(refused.reason) => {
                 // What is ahead in the queue must shrink to what the request can wait.
                 let lasts = refused.retry_after.saturating_sub(patience);
-                s.on_full(now, &call.treatment.kind, lasts);
+                s.on_full(now, &call.class.kind, lasts);
             }
             Err(refused) if is_closed(refused.reason) => s.on_closed(now),
             Err(_) => {}
@@ -122,10 +122,10 @@
         InboundCall {
             service: call.service.clone(),
             server: server.name.clone(),
-            kind: call.treatment.kind.as_str().into(),
+            kind: call.class.kind.as_str().into(),
             caller: self.caller_service.clone(),
             workspace: call.workspace_name().cloned(),
-            weight: call.treatment.weight,
+            weight: call.class.weight,
             deadline: call.deadline,
             wait_at_most: self.wait_left(call),
             selective: call.is_selective(),
@@ -208,13 +208,13 @@
         let aim = hop::Aim {
             service: &call.service,
             server: &server.name,
-            kind: &call.treatment.kind,
+            kind: &call.class.kind,
             caller: self.caller_service.as_deref(),
             workspace: call.workspace_name().map(|name| &**name),
         };
         let head = hop::CallHead {
             call: call.id.clone(),
-            weight: call.treatment.weight,
+            weight: call.class.weight,
             remaining_us: units::micros(remaining),
             wait_us: units::micros(self.wait_left(call)),
             allowance: call.allowance.left(),
--- a/crates/cherrystream-daemon/src/outbound/trials.rs
+++ b/crates/cherrystream-daemon/src/outbound/trials.rs
@@ -81,7 +81,7 @@
         let table = &mut trial.as_mut()?.table;
         let mut avoided = self.barred(call, table);
         avoided.extend(call.tried.iter().cloned());
-        table.choose_free(now, rng, &avoided, &call.treatment.kind)
+        table.choose_free(now, rng, &avoided, &call.class.kind)
     }
 }
 
