--- a/crates/cherrystream-control/src/distribution.rs
+++ b/crates/cherrystream-control/src/distribution.rs
@@ -5,7 +5,7 @@
     EncodedUpdate, FetchScheduler, FetchSource, MAX_INLINE_WEIGHT, Requester, UpdateCache,
 };
 use cherrystream_core::state::{ControlState, UpdateKind};
-use cherrystream_core::units::{Dotted, Revision, Timestamp};
+use cherrystream_core::units::{DisplayRevision, Revision, Timestamp};
 use cherrystream_net::chunks;
 use cherrystream_schema::messages::{
     Chunk, ChunkReply, ChunkRequest, Fetching, Offer, StateId, SyncRequest, Update,
@@ -129,7 +129,11 @@
         let update = state.read().update_since(held);
         let encoded = EncodedUpdate::new(held, &update);
         let StateId { from, to, bytes, .. } = encoded.id();
-        log::info!("control: encoded {} to {} in {bytes} bytes", Dotted(from), Dotted(to));
+        log::info!(
+            "control: encoded {} to {} in {bytes} bytes",
+            DisplayRevision(from),
+            DisplayRevision(to)
+        );
         library.add(encoded.clone());
         encoded
     }
--- a/crates/cherrystream-control/src/operators.rs
+++ b/crates/cherrystream-control/src/operators.rs
@@ -8,7 +8,7 @@
 use cherrystream_core::rollout;
 use cherrystream_core::shared;
 use cherrystream_core::state::Applied;
-use cherrystream_core::units::Dotted;
+use cherrystream_core::units::DisplayRevision;
 use cherrystream_core::workspaces;
 use cherrystream_net::clock;
 use cherrystream_net::interface::OrderAnswer;
@@ -194,7 +194,7 @@
         let command = Command::Confirm { plan: id.into(), at_ms: clock::unix_ms() };
         match self.handle.propose(command).await {
             Ok(Applied::Confirmed(Ok(revision))) => {
-                let revision = Dotted(revision).to_string();
+                let revision = DisplayRevision(revision).to_string();
                 let reply = ConfirmReply { plan: id.into(), revision, state: "accepted".into() };
                 json(200, &reply)
             }
@@ -209,7 +209,7 @@
             return no_result(e);
         }
         let state = self.handle.state.read();
-        let revision = Dotted(state.config_revision()).to_string();
+        let revision = DisplayRevision(state.config_revision()).to_string();
         json(200, &ConfigReply { revision, config: state.shared().config.clone() })
     }
 
@@ -224,7 +224,7 @@
         json(
             200,
             &StatusReply {
-                revision: Dotted(state.revision()).to_string(),
+                revision: DisplayRevision(state.revision()).to_string(),
                 leader: self.handle.replica,
                 term: standing.term,
                 needs_attention: needs_attention(&replicas, &daemons, state.shared()),
@@ -342,7 +342,7 @@
     };
     PlanReply {
         plan: plan.id.clone(),
-        base_revision: Dotted(plan.base_revision).to_string(),
+        base_revision: DisplayRevision(plan.base_revision).to_string(),
         steps: plan.steps.clone(),
         warnings: plan.warnings.clone(),
         expires_at: clock::rfc3339(plan.expires_at_ms),
--- a/crates/cherrystream-control/src/reach.rs
+++ b/crates/cherrystream-control/src/reach.rs
@@ -1,6 +1,6 @@
 //! The daemons that this replica hears, and what they hold.
 
-use cherrystream_core::units::{Dotted, Revision, Timestamp};
+use cherrystream_core::units::{DisplayRevision, Revision, Timestamp};
 use cherrystream_schema::messages::{DaemonStatus, HostRecord, SyncRequest};
 use parking_lot::Mutex;
 use std::collections::BTreeMap;
@@ -69,7 +69,7 @@
     DaemonStatus {
         host: heard.record.host.clone(),
         failure_domain: heard.record.failure_domain.clone(),
-        revision: Dotted(heard.held).to_string(),
+        revision: DisplayRevision(heard.held).to_string(),
         state: state.into(),
         heard_ms_ago: silence.as_millis() as u64,
     }
--- a/crates/cherrystream-core/src/state/changes.rs
+++ b/crates/cherrystream-core/src/state/changes.rs
@@ -4,7 +4,7 @@
 use crate::distribution;
 use crate::plan;
 use crate::shared;
-use crate::units::{Dotted, Revision};
+use crate::units::{DisplayRevision, Revision};
 use cherrystream_schema::messages::{Change, NumberedChange, Update};
 
 /// Maximum number of retained changes.
@@ -71,7 +71,7 @@
     pub(super) fn changes_since(&self, base: Revision) -> String {
         let describe = |c: &NumberedChange| match &c.change {
             Change::Operator { intent } if c.revision > base => {
-                Some(format!("{} at {}", plan::describe(intent), Dotted(c.revision)))
+                Some(format!("{} at {}", plan::describe(intent), DisplayRevision(c.revision)))
             }
             _ => None,
         };
--- a/crates/cherrystream-core/src/units.rs
+++ b/crates/cherrystream-core/src/units.rs
@@ -46,16 +46,16 @@
 }
 
 /// Formats a revision as `term.index`.
-pub struct Dotted(pub Revision);
+pub struct DisplayRevision(pub Revision);
 
-impl fmt::Display for Dotted {
+impl fmt::Display for DisplayRevision {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{}", self.0.term, self.0.index)
     }
 }
 
 /// Parses a revision of the form `term.index`.
-pub fn read_revision(text: &str) -> Option<Revision> {
+pub fn parse_revision(text: &str) -> Option<Revision> {
     let (term, index) = text.split_once('.')?;
     Some(Revision { term: term.parse().ok()?, index: index.parse().ok()? })
 }
--- a/crates/cherrystream-daemon/src/outbound/send.rs
+++ b/crates/cherrystream-daemon/src/outbound/send.rs
@@ -262,7 +262,7 @@
         map: &HeaderMap,
     ) -> Option<hop::AnswerHead> {
         if let Some(revision) = headers::text(map, &headers::REVISION)
-            .and_then(units::read_revision)
+            .and_then(units::parse_revision)
             .filter(|revision| *revision > self.held.revision())
         {
             let near = matches!(server.distance, Distance::SameHost | Distance::SameDomain);
--- a/crates/cherrystream-daemon/src/peer_server.rs
+++ b/crates/cherrystream-daemon/src/peer_server.rs
@@ -13,7 +13,7 @@
 use cherrystream_core::distribution::{EncodedUpdate, UpdateCache};
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::suspects::{CallerFingerprint, Fingerprint, FingerprintKey, Identity};
-use cherrystream_core::units::{self, Dotted, Revision};
+use cherrystream_core::units::{self, DisplayRevision, Revision};
 use cherrystream_net::body::{self, Body, Start};
 use cherrystream_net::chunks;
 use cherrystream_net::clock::Clock;
@@ -88,7 +88,7 @@
             Some(Op::SuspectLift) => self.lift(req).await,
             None => observe::plain(StatusCode::BAD_REQUEST, "this port is for daemons only\n"),
         };
-        headers::set(res.headers_mut(), headers::REVISION, Dotted(self.held.revision()));
+        headers::set(res.headers_mut(), headers::REVISION, DisplayRevision(self.held.revision()));
         res
     }
 
@@ -192,7 +192,7 @@
 
     /// Offers the state that this daemon holds, to one that holds an older one.
     fn fetch(&self, headers: &HeaderMap) -> Response<Body> {
-        let asker = headers::text(headers, &headers::REVISION).and_then(units::read_revision);
+        let asker = headers::text(headers, &headers::REVISION).and_then(units::parse_revision);
         let held = self.held.get();
         if held.revision <= asker.unwrap_or_default() {
             return observe::plain(StatusCode::NOT_FOUND, "nothing newer is held here\n");
--- a/crates/cherrystream-daemon/src/request_log.rs
+++ b/crates/cherrystream-daemon/src/request_log.rs
@@ -3,7 +3,7 @@
 use cherrystream_core::log_budget::LogBudget;
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::suspects::identity::Fingerprint;
-use cherrystream_core::units::{Dotted, Revision, Timestamp};
+use cherrystream_core::units::{DisplayRevision, Revision, Timestamp};
 use parking_lot::Mutex;
 use std::sync::Arc;
 use std::time::Duration;
@@ -69,7 +69,7 @@
             took.as_millis(),
             busy.join(","),
             tried.join(","),
-            Dotted(held),
+            DisplayRevision(held),
         );
     }
 }
--- a/crates/cherrystream-daemon/src/sync/downloads.rs
+++ b/crates/cherrystream-daemon/src/sync/downloads.rs
@@ -6,7 +6,7 @@
 use crate::peer::Peers;
 use cherrystream_core::distribution::{ChunkOutcome, Download, EncodedUpdate, UpdateCache};
 use cherrystream_core::transfer::PieceSize;
-use cherrystream_core::units::{Dotted, Revision, Timestamp};
+use cherrystream_core::units::{DisplayRevision, Revision, Timestamp};
 use cherrystream_net::body::{self, Start};
 use cherrystream_net::chunks;
 use cherrystream_net::clock::Clock;
@@ -274,7 +274,7 @@
             (Source::Control, NoChunk::Failed) => {}
         }
         if job.source().is_none() {
-            log::debug!("sync: nobody holds {} any more", Dotted(id.to));
+            log::debug!("sync: nobody holds {} any more", DisplayRevision(id.to));
             *current = None;
             drop(current);
             self.note_end();
@@ -298,7 +298,7 @@
                 *current = None;
                 drop(current);
                 self.count("damaged");
-                log::error!("sync: {} is fetched anew: {e}", Dotted(id.to));
+                log::error!("sync: {} is fetched anew: {e}", DisplayRevision(id.to));
                 self.note_end();
             }
         }
@@ -310,13 +310,13 @@
             Ok(update) => update,
             Err(e) => {
                 self.count("damaged");
-                log::error!("sync: {} cannot be read: {e}", Dotted(to));
+                log::error!("sync: {} cannot be read: {e}", DisplayRevision(to));
                 return;
             }
         };
         self.tools.library.lock().add(encoded);
         self.count("whole");
-        let (from, shown) = (Dotted(from), Dotted(to));
+        let (from, shown) = (DisplayRevision(from), DisplayRevision(to));
         log::info!("sync: fetched {shown} since {from}: {bytes} bytes in {took:?}");
         self.tools.held.take(update);
         self.note_end();
--- a/crates/cherrystream-daemon/src/sync/mod.rs
+++ b/crates/cherrystream-daemon/src/sync/mod.rs
@@ -13,7 +13,7 @@
 use crate::peer::Peers;
 use crate::role::SeedReader;
 use cherrystream_core::replica_choice::ReplicaChoice;
-use cherrystream_core::units::{Dotted, Revision, Timestamp};
+use cherrystream_core::units::{DisplayRevision, Revision, Timestamp};
 use cherrystream_net::body::{self, Start};
 use cherrystream_net::clock::Clock;
 use cherrystream_net::key::Secret;
@@ -223,7 +223,7 @@
         match answered {
             Ok(reply) => self.count_call("answered", Called::Answered(Box::new(reply))),
             Err(e) => {
-                let (took, held) = (started.elapsed(), Dotted(self.held.revision()));
+                let (took, held) = (started.elapsed(), DisplayRevision(self.held.revision()));
                 let what = format!("{e} after {took:?}, {held} is held");
                 self.count_call("failed", Called::Failed { what, took })
             }
@@ -270,7 +270,7 @@
         let held = self.held.revision();
         if newest < held {
             self.metrics.lagging_answers.inc();
-            let (theirs, held) = (Dotted(newest), Dotted(held));
+            let (theirs, held) = (DisplayRevision(newest), DisplayRevision(held));
             log::debug!("sync: the replica is at {theirs}, {held} is held");
         }
     }
@@ -279,7 +279,7 @@
         let revision = update.revision;
         let (changes, whole) = (update.changes.len(), update.full.is_some());
         if self.held.take(update) {
-            let shown = Dotted(revision);
+            let shown = DisplayRevision(revision);
             log::info!("sync: revision {shown} from {from}: {changes} changes, whole: {whole}");
             self.metrics.updates.get_or_create(&ReasonLabel { reason: from }).inc();
         }
@@ -362,7 +362,7 @@
     /// Asks a peer for an offer of the state that it holds.
     async fn offer_of(&self, address: &str) -> Option<Offer> {
         let mut req = downloads::request(address, Op::Fetch, self.key.as_ref())?;
-        headers::set(req.headers_mut(), headers::REVISION, Dotted(self.held.revision()));
+        headers::set(req.headers_mut(), headers::REVISION, DisplayRevision(self.held.revision()));
         let asking = async {
             let res = self.peers.send(address, req).await.ok()?;
             match body::read_start(res.into_body(), OFFER_BYTES).await {
