--- a/crates/cherrystream-core/src/retry.rs
+++ b/crates/cherrystream-core/src/retry.rs
@@ -77,7 +77,7 @@
 
 /// Returns the delay after which a caller should retry: `base` plus a jitter of up to `base`, so
 /// that callers refused at the same time do not retry at the same time.
-pub fn return_after(base: Duration, rng: &mut impl Rng) -> Duration {
+pub fn retry_after(base: Duration, rng: &mut impl Rng) -> Duration {
     let base = base.max(MIN_RETRY_AFTER);
     base + base.mul_f64(rng.random::<f64>())
 }
@@ -124,6 +124,6 @@
 
 /// Returns whether the second of two failed attempts determines the outcome of the request. A
 /// request was not run only if neither attempt was.
-pub fn second_tells(first: Reason, second: Reason) -> bool {
+pub fn second_decides(first: Reason, second: Reason) -> bool {
     first.outcome() == Outcome::NotRun && second.outcome() != Outcome::NotRun
 }
--- a/crates/cherrystream-core/tests/decisions.rs
+++ b/crates/cherrystream-core/tests/decisions.rs
@@ -196,7 +196,7 @@
     s.event("retries earned by 100 calls", earned);
     let mut rng = SmallRng::seed_from_u64(3);
     let delays: Vec<u128> = (0..6)
-        .map(|_| retry::return_after(Duration::from_millis(100), &mut rng).as_millis())
+        .map(|_| retry::retry_after(Duration::from_millis(100), &mut rng).as_millis())
         .collect();
     s.event("delays of six callers in ms", delays);
     insta::assert_snapshot!(s.0);
--- a/crates/cherrystream-daemon/src/outbound/hedging.rs
+++ b/crates/cherrystream-daemon/src/outbound/hedging.rs
@@ -72,7 +72,7 @@
     /// Notes on a call what both attempts reached; returns the failure that is weighed.
     fn settle(self, call: &mut Call) -> Refused {
         let Failures { first, second } = self;
-        let (told, other) = match retry::second_tells(first.reason, second.reason) {
+        let (told, other) = match retry::second_decides(first.reason, second.reason) {
             true => (second, first),
             false => (first, second),
         };
--- a/crates/cherrystream-daemon/src/outbound/mod.rs
+++ b/crates/cherrystream-daemon/src/outbound/mod.rs
@@ -247,7 +247,7 @@
             Err(refused) => {
                 let reason = refused.reason;
                 self.metrics.refusals.get_or_create(&metrics::label(reason)).inc();
-                let retry_after = retry::return_after(refused.retry_after, &mut rand::rng());
+                let retry_after = retry::retry_after(refused.retry_after, &mut rand::rng());
                 let head = RefusalHead { reason, retry_after, id: id.as_deref() };
                 (self.interface.write_refusal(&head), reason.outcome())
             }
