--- a/crates/cherrystream-core/src/retry.rs
+++ b/crates/cherrystream-core/src/retry.rs
@@ -84,7 +84,7 @@
 
 /// State of a call after a failed attempt, from which a retry is decided.
 #[derive(Clone, Copy, Debug)]
-pub struct Failed {
+pub struct FailedAttempt {
     /// Reason for the failure.
     pub reason: Reason,
     /// Number of attempts made so far.
@@ -96,7 +96,7 @@
     /// Number of backend servers that the request has reached.
     pub arrivals: u32,
     /// Largest number of backend servers that the request may reach.
-    pub arrivals_at_most: u32,
+    pub max_arrivals: u32,
 }
 
 /// Returns whether to make another attempt, and spends it from the budget and the allowance.
@@ -105,8 +105,8 @@
 /// One that may have run is retried only if it is repeatable and its allowance is not used up. The
 /// budget limits requests that reach backend servers more than once, so retries after refusals by
 /// an inbound do not count.
-pub fn decide(failed: Failed, budget: &mut RetryBudget, allowance: &mut Allowance) -> bool {
-    let exhausted = failed.arrivals >= failed.arrivals_at_most;
+pub fn decide(failed: FailedAttempt, budget: &mut RetryBudget, allowance: &mut Allowance) -> bool {
+    let exhausted = failed.arrivals >= failed.max_arrivals;
     if !failed.replayable || failed.attempts >= MAX_ATTEMPTS || exhausted {
         return false;
     }
--- a/crates/cherrystream-core/tests/decisions.rs
+++ b/crates/cherrystream-core/tests/decisions.rs
@@ -6,7 +6,7 @@
 use cherrystream_core::choose::{self, Distance, ServerId, ServerTable};
 use cherrystream_core::health::{Check, Health, ProbeBudget};
 use cherrystream_core::reasons::Reason;
-use cherrystream_core::retry::{self, Allowance, Failed, RetryBudget};
+use cherrystream_core::retry::{self, Allowance, FailedAttempt, RetryBudget};
 use cherrystream_schema::messages::{Report, ServerState};
 use cherrystream_schema::settings::ChoicePolicy;
 use rand::SeedableRng;
@@ -147,9 +147,9 @@
     let failed = |reason: Reason, attempts, repeatable| {
         let arrivals = u32::from(reason.reached_server());
         let replayable = true;
-        Failed { reason, attempts, repeatable, replayable, arrivals, arrivals_at_most: 4 }
+        FailedAttempt { reason, attempts, repeatable, replayable, arrivals, max_arrivals: 4 }
     };
-    let mut decide = |what: &str, failed: Failed, allowance: &mut Allowance| {
+    let mut decide = |what: &str, failed: FailedAttempt, allowance: &mut Allowance| {
         s.event(what, retry::decide(failed, &mut budget, allowance));
     };
     decide("refused by the inbound", failed(Reason::QueueFull, 1, false), &mut allowance);
@@ -177,7 +177,7 @@
         &mut Allowance::new(Some(99)),
     );
     decide("too many attempts", failed(Reason::QueueFull, 4, false), &mut allowance);
-    let not_replayable = Failed { replayable: false, ..failed(Reason::QueueFull, 1, true) };
+    let not_replayable = FailedAttempt { replayable: false, ..failed(Reason::QueueFull, 1, true) };
     decide("the body cannot be sent again", not_replayable, &mut allowance);
     let mut spent = 0;
     while retry::decide(failed(Reason::BackendServerRefused, 1, true), &mut budget, &mut allowance)
--- a/crates/cherrystream-core/tests/nested_calls.rs
+++ b/crates/cherrystream-core/tests/nested_calls.rs
@@ -3,7 +3,7 @@
 use cherrystream_core::admission::{self, Action, Admission, Arrival, Decision, Ticket};
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::request_times::{self, RequestTimes, TimeInputs};
-use cherrystream_core::retry::{self, Allowance, Failed, RetryBudget};
+use cherrystream_core::retry::{self, Allowance, FailedAttempt, RetryBudget};
 use cherrystream_core::units::Timestamp;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -112,13 +112,13 @@
         let Err(reason) = simulation.arrive(at, now, arrival(until), CALL_WORK) else {
             return true;
         };
-        let failed = Failed {
+        let failed = FailedAttempt {
             reason,
             attempts,
             repeatable: true,
             replayable: true,
             arrivals: 0,
-            arrivals_at_most: 2,
+            max_arrivals: 2,
         };
         if !retry::decide(failed, &mut budget, &mut allowance) {
             return false;
--- a/crates/cherrystream-daemon/src/outbound/retrying.rs
+++ b/crates/cherrystream-daemon/src/outbound/retrying.rs
@@ -5,7 +5,7 @@
 use crate::metrics;
 use crate::refusal::Refused;
 use cherrystream_core::reasons::{Outcome, Reason};
-use cherrystream_core::retry::{self, Failed};
+use cherrystream_core::retry::{self, FailedAttempt};
 use cherrystream_core::suspects::Treatment;
 use cherrystream_net::serve::Phase;
 
@@ -38,13 +38,13 @@
         if may_have_ended_one || self.phases.now() == Phase::Ending {
             return Err(refused);
         }
-        let failed = Failed {
+        let failed = FailedAttempt {
             reason: refused.reason,
             attempts: call.attempts,
             repeatable: call.class.repeatable,
             replayable: call.body.is_replayable(),
             arrivals: call.arrivals,
-            arrivals_at_most: call.arrivals_at_most,
+            max_arrivals: call.arrivals_at_most,
         };
         let label = metrics::label(refused.reason);
         let may = self.table(&call.service).is_some_and(|table| {
