--- a/crates/cherrystream-core/src/reservations.rs
+++ b/crates/cherrystream-core/src/reservations.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Validity of a reservation, a few round trips.
-pub const KEPT_FOR: Duration = Duration::from_millis(250);
+pub const RESERVATION_TTL: Duration = Duration::from_millis(250);
 
 /// Random identifier of a reservation, so that a late request cannot take the slot of another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -36,8 +36,8 @@
 
 impl<T> Reservations<T> {
     /// Reserves a slot for a request that will arrive.
-    pub fn keep(&mut self, now: Timestamp, name: Reservation, slot: T) {
-        self.reserved.insert(name, Reserved { slot, expires: now + KEPT_FOR });
+    pub fn reserve(&mut self, now: Timestamp, name: Reservation, slot: T) {
+        self.reserved.insert(name, Reserved { slot, expires: now + RESERVATION_TTL });
     }
 
     /// Removes and returns the slot of a request, unless its reservation has expired.
--- a/crates/cherrystream-daemon/src/inbound/mod.rs
+++ b/crates/cherrystream-daemon/src/inbound/mod.rs
@@ -171,7 +171,7 @@
 
     fn keep(&self, permit: Permit) -> Reservation {
         let name = Reservation(rand::random());
-        self.reservations.lock().keep(self.clock.now(), name, permit);
+        self.reservations.lock().reserve(self.clock.now(), name, permit);
         name
     }
 
