--- a/crates/cherrystream-core/src/replica_choice.rs
+++ b/crates/cherrystream-core/src/replica_choice.rs
@@ -61,7 +61,7 @@
 
     /// Replaces the replicas by the list that one of them returned, if it is not empty. A failure
     /// domain that the list lacks is kept.
-    pub fn learn(&mut self, replicas: &[ReplicaAddress]) {
+    pub fn update(&mut self, replicas: &[ReplicaAddress]) {
         if replicas.is_empty() {
             return;
         }
@@ -89,27 +89,27 @@
     }
 
     /// Records the failure domain that a replica reports for itself.
-    pub fn on_domain(&mut self, address: &str, failure_domain: &str) {
+    pub fn set_failure_domain(&mut self, address: &str, failure_domain: &str) {
         if let Some(replica) = self.replicas.iter_mut().find(|r| r.address == address) {
             replica.failure_domain = Some(failure_domain.into());
         }
     }
 
     /// Records a failed call to a replica, which took `took`.
-    pub fn on_lost(&mut self, now: Timestamp, address: &str, took: Duration) {
+    pub fn on_failure(&mut self, now: Timestamp, address: &str, took: Duration) {
         let backoff = MIN_BACKOFF.max(took * BACKOFF_PER_CALL);
         self.unreachable.insert(address.into(), now + backoff);
         self.turn = self.turn.wrapping_add(1);
     }
 
     /// Records that a replica serves this daemon.
-    pub fn on_served(&mut self, address: &str) {
+    pub fn on_success(&mut self, address: &str) {
         self.unreachable.remove(address);
     }
 
     /// Returns whether a replica of this failure domain should be tried in place of the one at
     /// `address`, which is in another.
-    pub fn is_nearer_known(&self, now: Timestamp, address: &str) -> bool {
+    pub fn has_nearer(&self, now: Timestamp, address: &str) -> bool {
         let serves_near = |r: &ReplicaAddress| r.address == address && self.is_near(r);
         let is_available =
             |r: &ReplicaAddress| self.is_near(r) && !self.is_in_backoff(now, &r.address);
@@ -117,7 +117,7 @@
     }
 
     /// Returns whether a replica is known to be in this failure domain.
-    pub fn is_known_near(&self, address: &str) -> bool {
+    pub fn is_address_near(&self, address: &str) -> bool {
         self.replicas.iter().any(|r| r.address == address && self.is_near(r))
     }
 
--- a/crates/cherrystream-core/tests/replica_choice.rs
+++ b/crates/cherrystream-core/tests/replica_choice.rs
@@ -19,24 +19,24 @@
 fn a_replica_of_the_same_failure_domain_is_preferred_once_it_is_known() {
     let mut choice = ReplicaChoice::new("d", seeds(), 1);
     assert_eq!(choice.next(START), Some("b:1"));
-    choice.learn(&[replica("a:1", "a"), replica("b:1", "b"), replica("d:1", "d")]);
-    assert!(choice.is_nearer_known(START, "b:1"));
+    choice.update(&[replica("a:1", "a"), replica("b:1", "b"), replica("d:1", "d")]);
+    assert!(choice.has_nearer(START, "b:1"));
     assert_eq!(choice.next(START), Some("d:1"));
-    assert!(!choice.is_nearer_known(START, "d:1"));
+    assert!(!choice.has_nearer(START, "d:1"));
 }
 
 /// Guards against a daemon that stays at a remote replica after the near one is back.
 #[test]
 fn a_daemon_returns_to_the_replica_of_its_failure_domain_after_the_backoff() {
     let mut choice = ReplicaChoice::new("a", Vec::new(), 0);
-    choice.learn(&[replica("a:1", "a"), replica("b:1", "b")]);
-    choice.on_lost(START, "a:1", Duration::ZERO);
+    choice.update(&[replica("a:1", "a"), replica("b:1", "b")]);
+    choice.on_failure(START, "a:1", Duration::ZERO);
     assert_eq!(choice.next(START), Some("b:1"));
-    choice.on_served("b:1");
+    choice.on_success("b:1");
     let soon = Timestamp::from_millis(1_400);
-    assert!(!choice.is_nearer_known(soon, "b:1"));
+    assert!(!choice.has_nearer(soon, "b:1"));
     let later = Timestamp::from_millis(1_500);
-    assert!(choice.is_nearer_known(later, "b:1"));
+    assert!(choice.has_nearer(later, "b:1"));
     assert_eq!(choice.next(later), Some("a:1"));
 }
 
@@ -44,14 +44,14 @@
 #[test]
 fn an_unresponsive_replica_costs_a_small_share_of_the_time() {
     let mut choice = ReplicaChoice::new("a", Vec::new(), 0);
-    choice.learn(&[replica("a:1", "a"), replica("b:1", "b")]);
+    choice.update(&[replica("a:1", "a"), replica("b:1", "b")]);
     let call = Duration::from_millis(1_200);
     let (mut now, mut without) = (START, Duration::ZERO);
     while now < Timestamp::from_millis(61_000) {
-        if choice.is_nearer_known(now, "b:1") {
+        if choice.has_nearer(now, "b:1") {
             now = now + call;
             without += call;
-            choice.on_lost(now, "a:1", call);
+            choice.on_failure(now, "a:1", call);
         }
         now = now + Duration::from_millis(100);
     }
@@ -64,7 +64,7 @@
     let mut tried = Vec::new();
     for _ in 0..6 {
         let address = choice.next(START).unwrap().to_string();
-        choice.on_lost(START, &address, Duration::ZERO);
+        choice.on_failure(START, &address, Duration::ZERO);
         tried.push(address);
     }
     for seed in seeds() {
@@ -76,9 +76,9 @@
 #[test]
 fn a_known_failure_domain_is_kept_when_a_list_lacks_it() {
     let mut choice = ReplicaChoice::new("a", seeds(), 0);
-    choice.on_domain("c:1", "a");
+    choice.set_failure_domain("c:1", "a");
     let unknown = |address: String| ReplicaAddress { address, failure_domain: None };
-    choice.learn(&seeds().into_iter().map(unknown).collect::<Vec<_>>());
+    choice.update(&seeds().into_iter().map(unknown).collect::<Vec<_>>());
     assert_eq!(choice.next(START), Some("c:1"));
 }
 
@@ -86,7 +86,7 @@
 fn the_checksum_covers_addresses_and_failure_domains() {
     let replicas = [replica("a:1", "a"), replica("b:1", "b")];
     let mut choice = ReplicaChoice::new("a", Vec::new(), 0);
-    choice.learn(&replicas);
+    choice.update(&replicas);
     assert_eq!(choice.checksum(), replica_choice::checksum(&replicas));
     assert_ne!(choice.checksum(), replica_choice::checksum(&[replica("a:1", "b")]));
 }
--- a/crates/cherrystream-daemon/src/sync/mod.rs
+++ b/crates/cherrystream-daemon/src/sync/mod.rs
@@ -109,7 +109,7 @@
                 Err(what) => Left::Lost { what, took: started.elapsed() },
             };
             let Left::Lost { what, took } = left else { continue };
-            self.control.lock().on_lost(self.clock.now(), &address, took);
+            self.control.lock().on_failure(self.clock.now(), &address, took);
             search.tries += 1;
             if !search.away {
                 log::warn!("sync: control is away: {what}");
@@ -197,8 +197,8 @@
     /// Notes that a replica serves this daemon, and returns whether one nearby is to be tried in its place.
     fn leaves_for_nearer(&self, address: &str) -> bool {
         let mut control = self.control.lock();
-        control.on_served(address);
-        !self.fixed && control.is_nearer_known(self.clock.now(), address)
+        control.on_success(address);
+        !self.fixed && control.has_nearer(self.clock.now(), address)
     }
 
     /// Makes one heartbeat call, unless something changes that control should hear first.
@@ -236,7 +236,7 @@
     }
 
     fn is_known_near(&self, address: &str) -> bool {
-        self.control.lock().is_known_near(address)
+        self.control.lock().is_address_near(address)
     }
 
     fn heartbeat(&self, leaving: bool, confirmed: bool) -> SyncRequest {
@@ -311,9 +311,9 @@
             return;
         }
         let mut control = self.control.lock();
-        control.learn(&reply.control);
+        control.update(&reply.control);
         if let Some(failure_domain) = &reply.failure_domain {
-            control.on_domain(address, failure_domain);
+            control.set_failure_domain(address, failure_domain);
         }
     }
 
