--- a/crates/cherrystream-core/src/routes.rs
+++ b/crates/cherrystream-core/src/routes.rs
@@ -25,15 +25,15 @@
 /// Reason why a route table is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{what}"))]
-pub struct TableFault {
+pub struct InvalidTable {
     /// Description of the error, with the name of the route.
     pub what: String,
     /// What to do about it.
     pub remedy: String,
 }
 
-fn fault<T>(what: String, remedy: &str) -> Result<T, TableFault> {
-    Err(TableFault { what, remedy: remedy.into() })
+fn fault<T>(what: String, remedy: &str) -> Result<T, InvalidTable> {
+    Err(InvalidTable { what, remedy: remedy.into() })
 }
 
 /// Checks a route table.
@@ -41,7 +41,7 @@
 /// # Errors
 ///
 /// Fails with the first error found, which names the route and the remedy.
-pub fn validate(table: &RouteTable) -> Result<(), TableFault> {
+pub fn validate(table: &RouteTable) -> Result<(), InvalidTable> {
     if table.number == 0 {
         return fault("the table number is 0".into(), "number tables from 1");
     }
@@ -57,7 +57,7 @@
     workspaces::validate(&table.workspaces)
 }
 
-fn validate_route(table: &RouteTable, name: &str, route: &Route) -> Result<(), TableFault> {
+fn validate_route(table: &RouteTable, name: &str, route: &Route) -> Result<(), InvalidTable> {
     if route.host.trim().is_empty() {
         return fault(format!("route {name} has no host"), "set the host that callers request");
     }
@@ -79,7 +79,7 @@
     validate_targets(table, name, route)
 }
 
-fn validate_targets(table: &RouteTable, name: &str, route: &Route) -> Result<(), TableFault> {
+fn validate_targets(table: &RouteTable, name: &str, route: &Route) -> Result<(), InvalidTable> {
     let unknown = route.targets.iter().find(|t| !table.services.contains_key(&t.service));
     if let Some(target) = unknown {
         let what = format!("route {name} refers to the unknown service '{}'", target.service);
--- a/crates/cherrystream-core/src/workspaces.rs
+++ b/crates/cherrystream-core/src/workspaces.rs
@@ -4,7 +4,7 @@
 //! source text of the route table, which operators can read back unchanged. Comparing digests keeps
 //! the time of a look-up independent of how much of a guessed key is right.
 
-use crate::routes::TableFault;
+use crate::routes::InvalidTable;
 use base64::Engine;
 use base64::engine::general_purpose::{STANDARD_NO_PAD, URL_SAFE_NO_PAD};
 use cherrystream_schema::messages::{Config, RouteTable, Workspace};
@@ -195,25 +195,25 @@
 /// # Errors
 ///
 /// Returns the first fault, with the name of the workspace and the remedy, but never a key.
-pub fn validate(workspaces: &BTreeMap<String, Workspace>) -> Result<(), TableFault> {
+pub fn validate(workspaces: &BTreeMap<String, Workspace>) -> Result<(), InvalidTable> {
     let mut holders = HashMap::new();
     for (name, workspace) in workspaces {
         if name.trim().is_empty() {
             let what = "a workspace has no name".into();
-            return Err(TableFault { what, remedy: "name each workspace".into() });
+            return Err(InvalidTable { what, remedy: "name each workspace".into() });
         }
         if !name.bytes().all(|byte| byte == b' ' || byte.is_ascii_graphic()) {
             // The name is sent in a header. An invalid header would be omitted, and the request
             // would run without its workspace.
             let what = format!("the name {name:?} of a workspace cannot be sent in a header");
             let remedy = "use printable ASCII characters only".into();
-            return Err(TableFault { what, remedy });
+            return Err(InvalidTable { what, remedy });
         }
         for digest in &workspace.key_digests {
             let Some(other) = holders.insert(digest, name) else { continue };
             let what = format!("workspaces {other} and {name} hold the same key");
             let remedy = "give each key to one workspace, once".into();
-            return Err(TableFault { what, remedy });
+            return Err(InvalidTable { what, remedy });
         }
     }
     Ok(())
