--- a/crates/cherrystream-core/src/attempts.rs
+++ b/crates/cherrystream-core/src/attempts.rs
@@ -106,19 +106,19 @@
     }
 
     /// Records that an attempt was refused before any byte of it reached the backend server.
-    pub fn abandon(&mut self, key: &RequestKey, claim: u64) {
+    pub fn on_refused(&mut self, key: &RequestKey, claim: u64) {
         self.settle(key, claim, AttemptState::Fenced, None);
     }
 
     /// Records that the backend server answered. Holds `answer`, if given with its size in bytes.
-    pub fn answered(&mut self, key: &RequestKey, claim: u64, answer: Option<(Arc<A>, usize)>) {
+    pub fn on_answered(&mut self, key: &RequestKey, claim: u64, answer: Option<(Arc<A>, usize)>) {
         let state = if answer.is_some() { AttemptState::Answered } else { AttemptState::Ran };
         self.settle(key, claim, state, answer);
         self.evict_answers();
     }
 
     /// Records that the attempt reached the backend server and its answer was lost.
-    pub fn broke(&mut self, key: &RequestKey, claim: u64) {
+    pub fn on_broken(&mut self, key: &RequestKey, claim: u64) {
         self.settle(key, claim, AttemptState::Unknown, None);
     }
 
--- a/crates/cherrystream-core/tests/sessions.rs
+++ b/crates/cherrystream-core/tests/sessions.rs
@@ -313,7 +313,7 @@
     s.event("an attempt starts", table.begin(&key("a"), claimed(1, 10)));
     s.event("it arrives again", table.begin(&key("a"), claimed(1, 10)));
     s.event("a resend queries its state", table.fence(&fence("a", 1, 10, true)));
-    table.answered(&key("a"), 1, Some(("paid".into(), 15)));
+    table.on_answered(&key("a"), 1, Some(("paid".into(), 15)));
     s.event(
         "it is answered, and a resend queries its state",
         table.fence(&fence("a", 1, 10, true)),
@@ -324,10 +324,10 @@
     s.event("the fenced attempt arrives", table.begin(&key("b"), claimed(2, 11)));
     s.event("the next attempt of the key starts", table.begin(&key("b"), claimed(3, 12)));
     s.event("the fenced attempt arrives again", table.begin(&key("b"), claimed(2, 11)));
-    table.answered(&key("b"), 3, Some(("paid".into(), 15)));
+    table.on_answered(&key("b"), 3, Some(("paid".into(), 15)));
     s.event("the first answer was evicted", table.fence(&fence("a", 1, 10, true)));
     s.event("a third attempt starts", table.begin(&key("c"), claimed(4, 13)));
-    table.broke(&key("c"), 4);
+    table.on_broken(&key("c"), 4);
     s.event(
         "its connection broke, and a resend queries its state",
         table.fence(&fence("c", 4, 13, true)),
--- a/crates/cherrystream-daemon/src/inbound/attempt.rs
+++ b/crates/cherrystream-daemon/src/inbound/attempt.rs
@@ -47,7 +47,7 @@
     }
 
     fn answered(&self, answer: Option<(Arc<HeldAnswer>, usize)>) {
-        self.inbound.attempts.lock().answered(&self.key, self.claim, answer);
+        self.inbound.attempts.lock().on_answered(&self.key, self.claim, answer);
     }
 }
 
@@ -56,9 +56,9 @@
         let mut attempts = self.inbound.attempts.lock();
         // An attempt that was answered is settled already; these then change nothing.
         if self.sent {
-            attempts.broke(&self.key, self.claim);
+            attempts.on_broken(&self.key, self.claim);
         } else {
-            attempts.abandon(&self.key, self.claim);
+            attempts.on_refused(&self.key, self.claim);
         }
     }
 }
