--- a/crates/cherrystream-core/src/distribution/mod.rs
+++ b/crates/cherrystream-core/src/distribution/mod.rs
@@ -1,11 +1,11 @@
 //! Distribution of the shared state to daemons.
 //!
-//! A daemon may need a single change or the whole state, over a slow link. A long update is encoded
-//! once ([`EncodedUpdate`]) and fetched in chunks. A [`Download`] continues over several connections
-//! and replicas, and fails only after a time without progress. Encoded updates are cached in an
-//! [`UpdateCache`]. [`FetchScheduler`] lets a few daemons of a failure domain fetch from a remote
-//! replica, and the others from these. [`BatchSchedule`] batches changes that are accepted within a
-//! short time.
+//! A daemon may need a single change or the whole state, over a slow link. A long update is
+//! encoded once ([`EncodedUpdate`]) and fetched in chunks. A [`Download`] continues over several
+//! connections and replicas, and fails only after a time without progress. Encoded updates are
+//! cached in an [`UpdateCache`]. [`FetchScheduler`] lets a few daemons of a failure domain fetch
+//! from a remote replica, and the others from these. [`BatchSchedule`] batches changes that are
+//! accepted within a short time.
 
 mod batch_schedule;
 mod download;
