--- a/crates/cherrystream-core/src/distribution/weight.rs
+++ b/crates/cherrystream-core/src/distribution/weight.rs
@@ -1,22 +1,21 @@
-//! How much an update holds, without writing it down.
+//! Size estimates of updates without encoding them.
 
 use cherrystream_schema::messages::{Change, RouteTable, Shared};
 
-/// Items of an update that goes out as it is: about 7 KB of JSON at the 280 bytes that a route, a host or an
-/// instance takes, a fifth of a second of a link of 0.3 Mbit/s.
-pub const LIGHT: usize = 24;
+/// Largest number of items in an update that is sent inline instead of being fetched in chunks.
+pub const MAX_INLINE_WEIGHT: usize = 24;
 
-/// Returns the number of items that changes hold: routes, hosts, instances and the like.
-pub fn of_changes<'a>(changes: impl Iterator<Item = &'a Change>) -> usize {
-    changes.map(of_change).sum()
+/// Returns the number of items in changes: routes, hosts, instances and similar.
+pub fn changes_weight<'a>(changes: impl Iterator<Item = &'a Change>) -> usize {
+    changes.map(change_weight).sum()
 }
 
-fn of_change(change: &Change) -> usize {
+fn change_weight(change: &Change) -> usize {
     match change {
         Change::PatchRoutes { put, removed, services, workspaces, workspaces_removed, .. } => {
-            // The name of a route or workspace that is gone is a tenth of one.
-            let gone = removed.len() + workspaces_removed.len();
-            put.len() + gone / 10 + services.len() + workspaces.len()
+            // The name of a removed route or workspace is about a tenth of its size.
+            let removed_names = removed.len() + workspaces_removed.len();
+            put.len() + removed_names / 10 + services.len() + workspaces.len()
         }
         Change::Operator { .. }
         | Change::PutHost { .. }
@@ -27,8 +26,8 @@
     }
 }
 
-/// Returns the number of items that a whole state holds.
-pub fn of_state(shared: &Shared) -> usize {
+/// Returns the number of items in a whole state.
+pub fn state_weight(shared: &Shared) -> usize {
     let services = shared.config.services.values();
     let configured: usize = services.map(|s| 1 + s.kinds.len() + s.backend_servers.len()).sum();
     let in_table = |t: &RouteTable| t.routes.len() + t.services.len() + t.workspaces.len();
--- a/crates/cherrystream-daemon/src/outbound/choosing.rs
+++ b/crates/cherrystream-daemon/src/outbound/choosing.rs
@@ -38,7 +38,7 @@
             return self.choose(call).map(Next::Server);
         }
         let table = self.table(&call.service).ok_or(Refused::new(Reason::NoSuchService))?;
-        let kind = call.treatment.kind.as_str();
+        let kind = call.class.kind.as_str();
         let mut choosing = table.lock();
         let Choosing { table, rng, .. } = &mut *choosing;
         let mut avoided = self.barred(call, table);
@@ -73,7 +73,7 @@
             return Err(Refused::new(Reason::RegionNotAllowed));
         }
         if call.alone {
-            let server = table.choose_alone(now, call.identity.request, &barred);
+            let server = table.choose_isolated(now, call.identity.request, &barred);
             let server = server.ok_or(Refused::new(Reason::NoBackendServer))?;
             call.tried.push(server.name.clone());
             return Ok(server);
@@ -81,7 +81,7 @@
         // When all were tried, the first may have a free slot by now.
         let tried: Vec<_> = barred.iter().chain(&call.tried).cloned().collect();
         let avoided: Vec<_> = tried.iter().chain(&call.busy).cloned().collect();
-        let kind = call.treatment.kind.as_str();
+        let kind = call.class.kind.as_str();
         let free = match call.is_selective() {
             true => table.choose_free(now, rng, &avoided, kind),
             false => None,
@@ -101,7 +101,7 @@
             None => {
                 // None has room: it takes what it gets, from one that has not failed it yet.
                 call.selective_offers = 0;
-                let open = table.choose_open(now, rng, &tried, kind);
+                let open = table.choose_not_full(now, rng, &tried, kind);
                 let open = open.map_err(|retry_after| Refused {
                     retry_after,
                     ..Refused::new(Reason::QueueTooLong)
