--- a/crates/cherrystream-control/src/api.rs
+++ b/crates/cherrystream-control/src/api.rs
@@ -1,4 +1,4 @@
-//! The intent API: HTTP for operators.
+//! The HTTP API for operators.
 
 use crate::metrics::Metrics;
 use crate::operators::{self, Operators};
@@ -10,41 +10,41 @@
 use hyper::body::Incoming;
 use std::sync::Arc;
 
-/// Largest body of an operator's call.
-const BODY_BYTES: usize = 256 * 1024;
-/// Longest idempotency key.
-const KEY_BYTES: usize = 255;
-/// Name of the operator where no tokens are set.
-const ANYBODY: &str = "anybody";
-/// Header that names a resent call.
+/// Maximum size of a request body.
+const MAX_BODY_BYTES: usize = 256 * 1024;
+/// Maximum length of an idempotency key.
+const MAX_KEY_BYTES: usize = 255;
+/// Operator name of every caller when no tokens are configured.
+const ANONYMOUS: &str = "anybody";
+/// Header that identifies retries of the same call.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Seconds after which a call refused for want of a leader is worth sending again.
-const RETRY_AFTER: &str = "1";
+/// `Retry-After` in seconds of a call that failed because there is no leader.
+const RETRY_AFTER_S: &str = "1";
 
-/// An operator and the secret that shows who it is.
+/// An operator and the token that authenticates it.
 #[derive(Clone, Debug)]
 pub struct Operator {
-    /// Name of the operator.
+    /// Name that is recorded with the plans of the operator.
     pub name: String,
-    /// The token.
+    /// Bearer token.
     pub token: Secret,
 }
 
-/// The intent API.
+/// Serves the HTTP API for operators.
 #[derive(Clone)]
 pub struct Api {
-    /// Answers the calls.
+    /// Handles the calls.
     pub operators: Operators,
-    /// Who may call; everybody when empty.
-    pub known: Arc<Vec<Operator>>,
-    /// Orders in the words of another interface, where there is one.
+    /// Operators that may call; empty disables authentication.
+    pub credentials: Arc<Vec<Operator>>,
+    /// Handler of operator commands of another interface, if one is configured.
     pub orders: Option<Orders>,
-    /// Metrics.
+    /// Metrics of the control role.
     pub metrics: Metrics,
 }
 
 impl Api {
-    /// Answers a request.
+    /// Handles a request and returns its response.
     pub async fn answer(&self, req: Request<Incoming>) -> Response<Body> {
         let (head, incoming) = req.into_parts();
         let orders = self.orders.as_ref().filter(|orders| orders.interface.is_order(&head));
@@ -56,7 +56,7 @@
     }
 
     async fn answer_call(&self, req: Request<Incoming>) -> Response<Body> {
-        let Some(operator) = self.operator(req.headers()) else {
+        let Some(operator) = self.authenticate(req.headers()) else {
             self.metrics.refuse("wrong-token");
             let remedy = "send `Authorization: Bearer TOKEN` with an operator's token";
             return response(operators::error(401, "the token is missing or wrong", remedy));
@@ -70,15 +70,16 @@
         }
     }
 
-    /// Every token is compared, so that the time does not tell which one is near.
-    fn operator(&self, headers: &HeaderMap) -> Option<String> {
-        if self.known.is_empty() {
-            return Some(ANYBODY.into());
+    /// Returns the name of the operator whose token the request carries. Compares every token, so
+    /// that the duration reveals nothing about them.
+    fn authenticate(&self, headers: &HeaderMap) -> Option<String> {
+        if self.credentials.is_empty() {
+            return Some(ANONYMOUS.into());
         }
-        let given = key::bearer_of(headers)?;
+        let token = key::bearer_of(headers)?;
         let mut found = None;
-        for operator in self.known.iter() {
-            if operator.token.matches(given) {
+        for operator in self.credentials.iter() {
+            if operator.token.matches(token) {
                 found = Some(operator.name.clone());
             }
         }
@@ -93,13 +94,13 @@
     let (parts, incoming) = req.into_parts();
     let request_key = match parts.headers.get(IDEMPOTENCY_KEY).map(HeaderValue::to_str) {
         None => None,
-        Some(Ok(key)) if !key.is_empty() && key.len() <= KEY_BYTES => Some(key.to_string()),
+        Some(Ok(key)) if !key.is_empty() && key.len() <= MAX_KEY_BYTES => Some(key.to_string()),
         Some(_) => {
             let remedy = "use 1 to 255 visible characters";
             return Err(operators::error(400, "the Idempotency-Key cannot be used", remedy));
         }
     };
-    let text = match body::read_start(body::incoming(incoming), BODY_BYTES).await {
+    let text = match body::read_start(body::incoming(incoming), MAX_BODY_BYTES).await {
         Ok(Start::Whole(bytes)) => String::from_utf8(bytes.to_vec()),
         Ok(Start::Longer(_)) => {
             return Err(operators::error(413, "the body is too large", "send 256 KiB at most"));
@@ -119,7 +120,7 @@
     let headers = res.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if answer.status == StatusCode::SERVICE_UNAVAILABLE.as_u16() {
-        headers.insert(header::RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER));
+        headers.insert(header::RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_S));
     }
     res
 }
--- a/crates/cherrystream-control/src/distribution.rs
+++ b/crates/cherrystream-control/src/distribution.rs
@@ -1,4 +1,5 @@
-//! What a daemon lacks of the shared state: short updates at once, long ones as an offer to fetch them.
+//! Updates of the shared state for daemons: short updates are sent inline, long ones are offered
+//! for fetching.
 
 use crate::reach::Reach;
 use cherrystream_core::distribution::{
@@ -12,42 +13,42 @@
 };
 use parking_lot::{Mutex, RwLock};
 
-/// Encoded updates kept: some twenty whole states of the size to design for.
-const LIBRARY_BYTES: u64 = 4 << 20;
-/// Bytes of the chunk that comes with an offer.
-const FIRST_CHUNK: usize = 4 * 1024;
+/// Capacity of the cache of encoded updates.
+const CACHE_BYTES: u64 = 4 << 20;
+/// Size of the chunk that is sent with an offer.
+const FIRST_CHUNK_BYTES: usize = 4 * 1024;
 
-/// What a daemon gets in answer to its heartbeat.
+/// Update that a daemon receives in response to its heartbeat.
 #[derive(Debug)]
 pub enum Lacking {
-    /// It lacks nothing, or is fetching what it lacks.
+    /// The daemon is up to date, or is already fetching the update.
     Nothing,
-    /// Few changes.
+    /// A short update, sent inline.
     Short(Box<Update>),
-    /// An update to fetch.
+    /// An offer of a long update to fetch.
     Long(Offer),
-    /// An update that another daemon nearby is fetching.
+    /// The daemon must wait while another one nearby fetches the update.
     Later,
 }
 
-/// The encoded updates of this replica, and who fetches them.
+/// Caches encoded updates and schedules which daemons fetch them from this replica.
 pub struct Distribution {
     failure_domain: String,
-    library: Mutex<UpdateCache>,
+    cache: Mutex<UpdateCache>,
     scheduler: Mutex<FetchScheduler>,
 }
 
 impl Distribution {
-    /// Creates the distribution of a replica in a failure domain.
+    /// Creates the distribution of a replica in `failure_domain`.
     pub fn new(failure_domain: &str) -> Distribution {
         Distribution {
             failure_domain: failure_domain.into(),
-            library: Mutex::new(UpdateCache::new(LIBRARY_BYTES)),
+            cache: Mutex::new(UpdateCache::new(CACHE_BYTES)),
             scheduler: Mutex::default(),
         }
     }
 
-    /// Returns what a daemon lacks.
+    /// Returns the update for a daemon.
     pub fn lacking(
         &self,
         now: Timestamp,
@@ -56,8 +57,8 @@
         reach: &Reach,
     ) -> Lacking {
         let requester = self.requester(&req.record.host, &req.record.failure_domain);
-        let step = state.read().update_kind_since(req.held);
-        match step {
+        let kind = state.read().update_kind_since(req.held);
+        match kind {
             UpdateKind::Nothing => {
                 self.scheduler.lock().on_done(requester);
                 return Lacking::Nothing;
@@ -73,19 +74,19 @@
         }
         if let Some(fetching) = &req.fetching {
             self.scheduler.lock().on_fetching(now, requester, fetching.id);
-            if self.goes_on(state, fetching) {
+            if self.should_continue(state, fetching) {
                 return Lacking::Nothing;
             }
         }
-        let encoded = self.encoded(state, req.held, step);
+        let encoded = self.encoded(state, req.held, kind);
         let id = encoded.id();
-        if req.fetching.as_ref().is_some_and(|f| self.has(f) && !overtakes(&id, f)) {
+        if req.fetching.as_ref().is_some_and(|f| self.is_available(f) && !supersedes(&id, f)) {
             return Lacking::Nothing;
         }
         let is_there = |host: &str| reach.is_there(now, host, id.to);
         match self.scheduler.lock().source(now, requester, id, is_there) {
             FetchSource::Replica => {
-                let first = encoded.chunk(0, FIRST_CHUNK).map(|data| chunks::encode(0, data));
+                let first = encoded.chunk(0, FIRST_CHUNK_BYTES).map(|data| chunks::encode(0, data));
                 Lacking::Long(Offer { id, first, peers: Vec::new() })
             }
             FetchSource::Peers(hosts) => {
@@ -96,35 +97,38 @@
         }
     }
 
-    /// Returns whether a daemon need not be told of anything newer than what it is fetching. The state is not locked
-    /// while the library is asked for: encoding takes the two the other way round.
-    fn goes_on(&self, state: &RwLock<ControlState>, fetching: &Fetching) -> bool {
-        self.has(fetching) && is_light(state.read().update_kind_since(fetching.id.to))
+    /// Returns whether a daemon should continue its fetch: the update is still available, and
+    /// little has changed since. Never holds the lock of the state together with that of the cache:
+    /// `encoded` locks the cache first.
+    fn should_continue(&self, state: &RwLock<ControlState>, fetching: &Fetching) -> bool {
+        self.is_available(fetching) && is_light(state.read().update_kind_since(fetching.id.to))
     }
 
-    /// Returns whether what a daemon is fetching can still be had: here, or from the peer that offered it.
-    fn has(&self, fetching: &Fetching) -> bool {
-        !fetching.by_control || self.library.lock().holds(&fetching.id)
+    /// Returns whether the update that a daemon is fetching is still available, here or from a
+    /// peer.
+    fn is_available(&self, fetching: &Fetching) -> bool {
+        !fetching.by_control || self.cache.lock().holds(&fetching.id)
     }
 
-    /// Returns the encoded update for a daemon. It is encoded once: the library is locked meanwhile.
+    /// Returns the encoded update for a daemon. Locks the cache while encoding, so that each update
+    /// is encoded once.
     fn encoded(
         &self,
         state: &RwLock<ControlState>,
         held: Revision,
-        step: UpdateKind,
+        kind: UpdateKind,
     ) -> EncodedUpdate {
-        let mut library = self.library.lock();
-        let from = match step {
+        let mut cache = self.cache.lock();
+        let from = match kind {
             UpdateKind::Whole { .. } => Revision::default(),
             UpdateKind::Nothing | UpdateKind::Changes { .. } => held,
         };
-        // One that leads nearly as far will do: what came since follows as a few changes.
-        let known = library.furthest(from).filter(|known| {
-            known.id().to > held && is_light(state.read().update_kind_since(known.id().to))
+        // Reuses a cached update that is nearly current: the changes since then are short.
+        let cached = cache.furthest(from).filter(|cached| {
+            cached.id().to > held && is_light(state.read().update_kind_since(cached.id().to))
         });
-        if let Some(known) = known {
-            return known.clone();
+        if let Some(cached) = cached {
+            return cached.clone();
         }
         let update = state.read().update_since(held);
         let encoded = EncodedUpdate::new(held, &update);
@@ -134,15 +138,15 @@
             DisplayRevision(from),
             DisplayRevision(to)
         );
-        library.add(encoded.clone());
+        cache.add(encoded.clone());
         encoded
     }
 
-    /// Returns the chunk that a daemon asks for, as far as the update is still kept here.
+    /// Returns the chunk that a daemon requests, if the update is still cached.
     pub fn chunk(&self, now: Timestamp, req: &ChunkRequest) -> ChunkReply {
-        let mut library = self.library.lock();
-        let held = library.get(&req.id);
-        let data = held.and_then(|held| held.chunk(req.offset, chunks::wanted(req.bytes)));
+        let mut cache = self.cache.lock();
+        let update = cache.get(&req.id);
+        let data = update.and_then(|update| update.chunk(req.offset, chunks::wanted(req.bytes)));
         let chunk: Option<Chunk> = data.map(|data| chunks::encode(req.offset, data));
         let sent = req.offset + data.map_or(0, |data| data.len() as u64);
         let requester = self.requester(&req.host, &req.failure_domain);
@@ -156,16 +160,16 @@
     }
 }
 
-fn is_light(step: UpdateKind) -> bool {
-    match step {
+fn is_light(kind: UpdateKind) -> bool {
+    match kind {
         UpdateKind::Nothing => true,
         UpdateKind::Changes { weight } => weight <= MAX_INLINE_WEIGHT,
         UpdateKind::Whole { .. } => false,
     }
 }
 
-/// Returns whether a newer update is there before the one that is on its way.
-fn overtakes(newer: &StateId, fetching: &Fetching) -> bool {
+/// Returns whether a newer update is at most as long as the rest of the one being fetched.
+fn supersedes(newer: &StateId, fetching: &Fetching) -> bool {
     let left = fetching.id.bytes.saturating_sub(fetching.received);
     newer.to > fetching.id.to && newer.bytes <= left
 }
--- a/crates/cherrystream-control/src/handle.rs
+++ b/crates/cherrystream-control/src/handle.rs
@@ -1,4 +1,4 @@
-//! What the other parts of the control role use to speak to the replicated log.
+//! Handle through which other parts of the control role use the replicated log.
 
 use crate::applier::Outcome;
 use cherrystream_core::raft::rejoin::{PlaceView, QuorumContact};
@@ -14,144 +14,146 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 
-/// Longest wait for an entry to be committed or a read to be confirmed.
+/// Timeout for committing an entry or confirming a read.
 pub(crate) const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a proposal or read has no result.
+/// Error of a proposal or read without a result.
 #[derive(Clone, Copy, Debug, PartialEq, Snafu)]
 pub enum NoResult {
-    /// This replica does not lead; nothing was proposed.
-    #[snafu(display("this replica does not lead"))]
+    /// This replica is not the leader; nothing was proposed.
+    #[snafu(display("this replica is not the leader"))]
     NotLeader {
         /// The leader, if known.
         leader: Option<u64>,
     },
-    /// The leadership was lost, or no quorum answered: the proposal may be accepted yet.
+    /// The leadership was lost or no quorum responded. The proposal may still be committed.
     #[snafu(display("it is not known whether the change was accepted; send the same call again"))]
     Unknown,
 }
 
-/// What happens to the replicated log.
+/// Input of the driver of the replicated log.
 pub enum Event {
-    /// Messages from other replicas.
+    /// Messages received from other replicas.
     Messages(Vec<RaftMessage>),
-    /// A command to commit.
+    /// A command to commit; the reply is the result of applying it.
     Propose(Box<Command>, oneshot::Sender<Result<Applied, NoResult>>),
     /// A read to confirm; the reply is the index that must be applied first.
     Read(oneshot::Sender<Result<u64, NoResult>>),
-    /// A question for what the leader knows of the others.
+    /// A request for the leader's view of the other replicas.
     Views(oneshot::Sender<Vec<ReplicaView>>),
-    /// A replica asks for a place in the group; the reply says whether it may have one.
+    /// A request of a replica for a member slot of the group; the reply is the decision.
     Admit(Box<JoinRequest>, oneshot::Sender<Result<JoinDecision, NoResult>>),
     /// Committed entries were applied.
     Applied(Vec<Outcome>),
-    /// Hand the leadership over, then answer.
+    /// Hand over the leadership; the reply is sent afterwards.
     HandOver(oneshot::Sender<()>),
-    /// This replica's place was given to another one.
+    /// The member slot of this replica was assigned to another one.
     Replaced,
-    /// Stop.
+    /// Stop the driver.
     Stop,
 }
 
-/// Where the log stands.
+/// Status of the replicated log on this replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Standing {
-    /// Term.
+    /// Current term.
     pub term: u64,
     /// The leader, if known.
     pub leader: Option<u64>,
-    /// Whether this replica leads.
+    /// Whether this replica is the leader.
     pub leads: bool,
     /// Index of the last entry applied.
     pub applied: u64,
-    /// Whether this replica votes.
+    /// Whether this replica is a voting member.
     pub votes: bool,
 }
 
 /// A handle to the replicated log.
 #[derive(Clone)]
 pub struct Handle {
-    /// Events to the driver.
+    /// Sends events to the driver.
     pub events: mpsc::Sender<Event>,
     /// The applied state. Held only for short reads, never across an await.
     pub state: Arc<RwLock<ControlState>>,
-    /// Where the log stands.
+    /// Status of the log.
     pub standing: watch::Receiver<Standing>,
-    /// This replica.
+    /// Number of this replica.
     pub replica: u64,
-    /// Where all replicas are; empty where their addresses are fixed.
+    /// Addresses of all replicas; empty if the addresses are fixed.
     pub addresses: Arc<RwLock<BTreeMap<u64, ReplicaAddress>>>,
-    /// When this replica last had word from a leader with a quorum, on the driver's clock.
+    /// Last contact with a leader that has a quorum, on the driver's clock.
     pub quorum_word: Arc<RwLock<Option<Timestamp>>>,
-    /// When this replica last had applied all that a leader with a quorum told of, on the driver's clock.
+    /// Last time at which everything announced by a leader with a quorum was applied, on the
+    /// driver's clock.
     pub caught_up: Arc<RwLock<Option<Timestamp>>>,
-    /// The driver's clock, for the times in views.
+    /// The driver's clock, on which the timestamps of this handle and of views are based.
     pub clock: cherrystream_net::clock::Clock,
 }
 
 impl Handle {
-    /// Commits a command and returns what applying it led to.
+    /// Commits a command and returns the result of applying it.
     ///
     /// # Errors
     ///
-    /// Fails on a replica that does not lead, or when the outcome is not known.
+    /// Fails if this replica is not the leader or the outcome is unknown.
     pub async fn propose(&self, command: Command) -> Result<Applied, NoResult> {
         let (tx, rx) = oneshot::channel();
         self.send(Event::Propose(Box::new(command), tx))?;
         wait(rx).await
     }
 
-    /// Lets a replica in that asks for a place, on the leader.
+    /// Decides on a request for a member slot, on the leader.
     ///
     /// # Errors
     ///
-    /// Fails on a replica that does not lead.
+    /// Fails if this replica is not the leader.
     pub async fn admit(&self, request: JoinRequest) -> Result<JoinDecision, NoResult> {
         let (tx, rx) = oneshot::channel();
         self.send(Event::Admit(Box::new(request), tx))?;
         wait(rx).await
     }
 
-    /// Returns where the replicas are, as far as that is known and not fixed.
+    /// Returns the replicas whose addresses are recorded; empty if the addresses are fixed.
     pub fn known_replicas(&self) -> Vec<ReplicaAddress> {
         let addresses = self.addresses.read();
         addresses.values().filter(|replica| !replica.address.is_empty()).cloned().collect()
     }
 
-    /// Returns the addresses of the replicas, as far as they are known and not fixed.
+    /// Returns the recorded addresses of the replicas; empty if they are fixed.
     pub fn known_addresses(&self) -> Vec<String> {
         self.known_replicas().into_iter().map(|replica| replica.address).collect()
     }
 
-    /// Returns how old the word of a leader with a quorum is here.
-    pub fn quorum_word(&self) -> QuorumContact {
-        self.word_at(*self.quorum_word.read())
+    /// Returns the age of the last contact with a leader that has a quorum.
+    pub fn quorum_contact(&self) -> QuorumContact {
+        self.contact_at(*self.quorum_word.read())
     }
 
-    /// Returns how old the newest word of a leader with a quorum is that is applied here as a whole. A replica that
-    /// lags behind the log has an old one, however lately it heard its leader.
-    pub fn state_word(&self) -> QuorumContact {
-        self.word_at(*self.caught_up.read())
+    /// Returns the age of the applied state, relative to what a leader with a quorum announced. The
+    /// age is high on a replica that lags behind the log, even if its last contact with the leader
+    /// is recent.
+    pub fn state_contact(&self) -> QuorumContact {
+        self.contact_at(*self.caught_up.read())
     }
 
-    fn word_at(&self, heard: Option<Timestamp>) -> QuorumContact {
-        match heard {
+    fn contact_at(&self, last: Option<Timestamp>) -> QuorumContact {
+        match last {
             Some(at) => QuorumContact::Heard { age: self.clock.now().since(at) },
             None => QuorumContact::NotYet,
         }
     }
 
-    /// Returns where this replica stands in its group.
+    /// Returns the membership of this replica in its group.
     pub fn place_view(&self) -> PlaceView {
         let standing = *self.standing.borrow();
-        PlaceView { leads: standing.leads, votes: standing.votes, word: self.quorum_word() }
+        PlaceView { leads: standing.leads, votes: standing.votes, word: self.quorum_contact() }
     }
 
     /// Waits until this replica has applied every change accepted before the call.
     ///
     /// # Errors
     ///
-    /// Fails on a replica that does not lead, or without a quorum.
+    /// Fails if this replica is not the leader or no quorum confirms the read.
     pub async fn read(&self) -> Result<u64, NoResult> {
         let (tx, rx) = oneshot::channel();
         self.send(Event::Read(tx))?;
@@ -160,11 +162,11 @@
         Ok(index)
     }
 
-    /// Waits until an index is applied here.
+    /// Waits until an index is applied on this replica.
     ///
     /// # Errors
     ///
-    /// Fails when that takes too long.
+    /// Fails if the wait times out.
     pub async fn applied(&self, index: u64) -> Result<(), NoResult> {
         let mut standing = self.standing.clone();
         let waiting = standing.wait_for(|s| s.applied >= index);
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Returns what the leader knows of the other replicas.
+    /// Returns the leader's view of the other replicas; empty on other replicas.
     pub async fn views(&self) -> Vec<ReplicaView> {
         let (tx, rx) = oneshot::channel();
         if self.send(Event::Views(tx)).is_err() {
@@ -183,7 +185,7 @@
         rx.await.unwrap_or_default()
     }
 
-    /// Hands the leadership over, if this replica has it, and waits for that.
+    /// Hands over the leadership, if this replica is the leader, and waits for the result.
     pub async fn hand_over(&self) {
         let (tx, rx) = oneshot::channel();
         if self.send(Event::HandOver(tx)).is_ok() {
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Returns the time since a point on the driver's clock.
+    /// Returns the time elapsed since a timestamp of the driver's clock.
     pub fn since(&self, at: Timestamp) -> Duration {
         self.clock.now().since(at)
     }
--- a/crates/cherrystream-control/src/lib.rs
+++ b/crates/cherrystream-control/src/lib.rs
@@ -1,4 +1,5 @@
-//! The control role: the replicated log on disk, the intent API, and distribution to daemons.
+//! The control role: the replicated log on disk, the intent API, and distribution of the shared
+//! state to daemons.
 
 #![forbid(unsafe_code)]
 
--- a/crates/cherrystream-control/src/metrics.rs
+++ b/crates/cherrystream-control/src/metrics.rs
@@ -6,10 +6,10 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Label that names a reason.
+/// Label with the reason of a refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ReasonLabel {
-    /// The reason.
+    /// Reason, such as `not-leader`.
     pub reason: &'static str,
 }
 
@@ -18,30 +18,30 @@
 pub struct Metrics {
     /// Refused calls by reason.
     pub refusals: Family<ReasonLabel, Counter>,
-    /// Claims granted.
+    /// Claims granted by this replica.
     pub claims_granted: Counter,
-    /// Keys held in the ledger.
+    /// Idempotency keys in the ledger.
     pub keys_held: Gauge,
     /// Term of the replicated log.
     pub term: Gauge,
     /// Commit index of the replicated log.
     pub commit: Gauge,
-    /// 1 on the leader.
+    /// 1 on the leader, 0 on the other replicas.
     pub leads: Gauge,
-    /// Writes made durable.
+    /// Syncs of the log to disk.
     pub syncs: Counter,
-    /// Bytes of the log file.
+    /// Size of the log file in bytes.
     pub log_bytes: Gauge,
-    /// Messages dropped because a replica did not take them.
+    /// Messages to other replicas dropped before delivery.
     pub dropped_messages: Counter,
-    /// Heartbeats of daemons taken.
+    /// Heartbeats received from daemons.
     pub heartbeats: Counter,
-    /// Steps of roll-outs that this replica took as the leader.
+    /// Roll-out steps committed by this replica.
     pub rollout_steps: Counter,
 }
 
 impl Metrics {
-    /// Registers the metrics.
+    /// Registers the metrics with the prefix `cherrystream_control`.
     pub fn register(&self, registry: &mut Registry) {
         let registry = registry.sub_registry_with_prefix("cherrystream_control");
         registry.register("refusals", "Refused calls by reason", self.refusals.clone());
--- a/crates/cherrystream-control/src/operators.rs
+++ b/crates/cherrystream-control/src/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' calls: intents, plans, confirmations, configuration and status.
+//! Handles operator calls: intents, plans, confirmations, configuration and status.
 
 use crate::handle::{Handle, NoResult};
 use crate::peers::Line;
@@ -25,27 +25,27 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Time for which a plan waits for its confirmation.
-const PLAN_LIFE: Duration = Duration::from_secs(600);
-/// Longest wait for another replica's word on the daemons that it hears, which grows with their number. All
-/// replicas are asked at once.
-const REACH_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Silence after which a control replica counts as unreachable.
-const REPLICA_SILENCE: Duration = Duration::from_secs(2);
+/// Time after which an unconfirmed plan expires.
+const PLAN_TTL: Duration = Duration::from_secs(600);
+/// Timeout of the query for the daemons that another replica has seen. All replicas are queried
+/// concurrently; the response grows with the number of daemons.
+const DAEMONS_QUERY_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time without a message after which a control replica is considered unreachable.
+const REPLICA_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Answers operators' calls.
+/// Handles operator calls.
 #[derive(Clone)]
 pub struct Operators {
-    /// The replicated log.
+    /// Handle to the replicated log.
     pub handle: Handle,
-    /// Lines to the other replicas.
+    /// Connections to the other replicas.
     pub lines: Arc<BTreeMap<u64, Arc<Line>>>,
-    /// Daemons that this replica hears.
+    /// Daemons that send heartbeats to this replica.
     pub reach: Arc<Reach>,
 }
 
 impl Operators {
-    /// Answers a call on the leader, which may be another replica.
+    /// Handles a call on the leader; forwards it if another replica leads.
     pub async fn answer(&self, call: OperatorCall) -> OperatorAnswer {
         let standing = *self.handle.standing.borrow();
         if standing.leads {
@@ -58,11 +58,11 @@
         let Some(client) = client else { return no_leader() };
         match client.operator(call).await {
             Ok(answer) => answer,
-            Err(_) => not_known(),
+            Err(_) => unknown_outcome(),
         }
     }
 
-    /// Answers a call on this replica.
+    /// Handles a call on this replica.
     pub async fn answer_here(&self, call: &OperatorCall) -> OperatorAnswer {
         let path: Vec<&str> = call.path.trim_start_matches('/').split('/').collect();
         match (call.method.as_str(), path.as_slice()) {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Returns the route table as the operator wrote it, with every change accepted before.
+    /// Returns the route table as the operator wrote it. The read is linearizable.
     pub async fn read_routes(&self) -> OrderAnswer {
         if self.confirm_read().await.is_err() {
             return OrderAnswer::Unavailable;
@@ -90,7 +90,7 @@
         source.map_or(OrderAnswer::NoTable, OrderAnswer::Table)
     }
 
-    /// Returns how the latest roll-out of a service stands, with every change accepted before.
+    /// Returns the stage of the latest roll-out of a service. The read is linearizable.
     pub async fn read_rollout(&self, service: &str) -> OrderAnswer {
         if self.confirm_read().await.is_err() {
             return OrderAnswer::Unavailable;
@@ -102,11 +102,11 @@
         }
     }
 
-    /// Checks an intent against the state that is applied here.
+    /// Validates an intent against the state applied on this replica.
     ///
     /// # Errors
     ///
-    /// Fails when it names something missing, or holds a bad value.
+    /// Fails if the intent refers to something that does not exist or contains an invalid value.
     pub fn check(&self, intent: &Intent) -> Result<(), Error> {
         rollout::plan::check(self.handle.state.read().shared(), intent)
     }
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when no quorum confirms that.
+    /// Fails if no quorum confirms the read.
     pub async fn confirm_read(&self) -> Result<(), NoResult> {
         let leader = match self.handle.read().await {
             Ok(_) => return Ok(()),
@@ -139,7 +139,7 @@
                 return error(400, &what, "see `docs/OPERATORS.md` for the intents and fields");
             }
         };
-        // Without this read a new leader could plan on a state that is not the newest.
+        // A new leader may not have applied all committed entries yet; the read waits for them.
         if let Err(e) = self.handle.read().await {
             return no_result(e);
         }
@@ -152,16 +152,16 @@
                 Ok(plan) => json(201, &plan_reply(&plan)),
                 Err(e) => core_error(&e),
             },
-            Ok(_) => not_known(),
+            Ok(_) => unknown_outcome(),
             Err(e) => no_result(e),
         }
     }
 
     fn outline(&self, call: &OperatorCall, intent: Intent) -> Result<Plan, Error> {
         let state = self.handle.state.read();
-        // A resent intent finds its plan, though the intent may change nothing any more.
-        let known = call.request_key.as_deref().and_then(|k| state.plan_of(&call.operator, k));
-        let outline = match known {
+        // A retried intent returns its existing plan, even if it would change nothing by now.
+        let existing = call.request_key.as_deref().and_then(|k| state.plan_of(&call.operator, k));
+        let outline = match existing {
             Some(_) => plan::Outline::default(),
             None => {
                 plan::outline(state.shared(), &plan::with_start_time(&intent, clock::unix_ms()))?
@@ -174,7 +174,7 @@
             base_revision: state.config_revision(),
             steps: outline.steps,
             warnings: outline.warnings,
-            expires_at_ms: clock::unix_ms() + PLAN_LIFE.as_millis() as u64,
+            expires_at_ms: clock::unix_ms() + PLAN_TTL.as_millis() as u64,
             request_key: call.request_key.clone(),
             accepted: None,
         })
@@ -199,7 +199,7 @@
                 json(200, &reply)
             }
             Ok(Applied::Confirmed(Err(e))) => core_error(&e),
-            Ok(_) => not_known(),
+            Ok(_) => unknown_outcome(),
             Err(e) => no_result(e),
         }
     }
@@ -235,15 +235,16 @@
         )
     }
 
-    /// Joins what all replicas hear, and adds registered hosts that none hears.
+    /// Merges the daemons that all replicas have seen, and adds registered hosts that none has
+    /// seen.
     async fn daemons(&self) -> Vec<DaemonStatus> {
         let newest = self.handle.state.read().revision();
         let mut all = self.reach.statuses(self.handle.clock.now(), newest);
-        let mut asked = JoinSet::new();
+        let mut queries = JoinSet::new();
         for line in self.lines.values() {
-            asked.spawn(heard_by(line.clone()));
+            queries.spawn(daemons_seen_by(line.clone()));
         }
-        all.extend(asked.join_all().await.into_iter().flatten());
+        all.extend(queries.join_all().await.into_iter().flatten());
         let mut joined = reach::join(all);
         for (host, record) in &self.handle.state.read().shared().hosts {
             joined.entry(host.clone()).or_insert_with(|| DaemonStatus {
@@ -264,7 +265,7 @@
             match_index: self.handle.standing.borrow().applied,
         }];
         for view in self.handle.views().await {
-            let state = if self.handle.since(view.last_seen) > REPLICA_SILENCE {
+            let state = if self.handle.since(view.last_seen) > REPLICA_TIMEOUT {
                 "unreachable"
             } else if view.votes {
                 "follower"
@@ -279,13 +280,13 @@
     }
 }
 
-/// Returns the daemons that another replica hears.
-async fn heard_by(line: Arc<Line>) -> Vec<DaemonStatus> {
-    let heard = async { line.client().await?.reach().await.ok() };
-    match tokio::time::timeout(REACH_TIMEOUT, heard).await {
-        Ok(Some(heard)) => heard,
+/// Queries another replica for the daemons that it has seen.
+async fn daemons_seen_by(line: Arc<Line>) -> Vec<DaemonStatus> {
+    let query = async { line.client().await?.reach().await.ok() };
+    match tokio::time::timeout(DAEMONS_QUERY_TIMEOUT, query).await {
+        Ok(Some(statuses)) => statuses,
         _ => {
-            log::debug!("control: replica at {} does not tell whom it hears", line.address());
+            log::debug!("control: replica at {} did not return its daemons", line.address());
             Vec::new()
         }
     }
@@ -320,16 +321,16 @@
     all
 }
 
-/// Names the services that have backend servers, none of which may get work.
+/// Returns a message for each service whose backend servers are all taken out.
 fn services_without_servers(shared: &Shared) -> Vec<String> {
     let is_out = |service: &messages::Service| {
         let mut servers = service.backend_servers.values().peekable();
         servers.peek().is_some() && servers.all(|s| shared::is_out(shared, &s.host))
     };
-    let tell = |(name, _): (&String, &messages::Service)| {
+    let message = |(name, _): (&String, &messages::Service)| {
         format!("every host of service {name} is out: return one, or add a backend server")
     };
-    shared.config.services.iter().filter(|(_, service)| is_out(service)).map(tell).collect()
+    shared.config.services.iter().filter(|(_, service)| is_out(service)).map(message).collect()
 }
 
 fn plan_reply(plan: &Plan) -> PlanReply {
@@ -355,7 +356,7 @@
     OperatorAnswer { status, body }
 }
 
-/// Returns an answer that tells an error and its remedy.
+/// Returns an error answer with a remedy.
 pub fn error(status: u16, what: &str, remedy: &str) -> OperatorAnswer {
     json(status, &ErrorReply { error: what.into(), remedy: remedy.into() })
 }
@@ -367,7 +368,7 @@
 fn no_result(e: NoResult) -> OperatorAnswer {
     match e {
         NoResult::NotLeader { .. } => no_leader(),
-        NoResult::Unknown => not_known(),
+        NoResult::Unknown => unknown_outcome(),
     }
 }
 
@@ -376,7 +377,7 @@
     error(503, what, "nothing was done; check with `status` that a majority runs, then try again")
 }
 
-fn not_known() -> OperatorAnswer {
+fn unknown_outcome() -> OperatorAnswer {
     let what = "it is not known whether the change was accepted";
     error(503, what, "send the same call again: it gets the same reply and runs once")
 }
--- a/crates/cherrystream-control/src/orders.rs
+++ b/crates/cherrystream-control/src/orders.rs
@@ -1,4 +1,5 @@
-//! Orders in the words of an operator's interface: the route table, replaced as a whole.
+//! Operator commands that arrive in the format of a configured interface: replacing the route
+//! table, intents and roll-outs.
 
 use crate::metrics::Metrics;
 use crate::operators::Operators;
@@ -14,29 +15,29 @@
 use hyper::body::Incoming;
 use std::sync::Arc;
 
-/// Largest body of an order.
-const ORDER_BYTES: usize = 16 * 1024 * 1024;
+/// Maximum size of the body of a command.
+const MAX_ORDER_BYTES: usize = 16 * 1024 * 1024;
 
-/// Carries out orders.
+/// Executes operator commands.
 #[derive(Clone)]
 pub struct Orders {
-    /// Carries them to the leader.
+    /// Forwards route tables and reads to the leader.
     pub operators: Operators,
-    /// Has the leader record intents.
+    /// Commits intents through the leader.
     pub registrar: Registrar,
-    /// The interface that they come in.
+    /// Decodes commands and encodes their results.
     pub interface: Arc<dyn OrderInterface>,
-    /// Metrics.
+    /// Metrics of the control role.
     pub metrics: Metrics,
 }
 
 impl Orders {
-    /// Answers a request that is an order.
+    /// Executes the command in a request and returns the response.
     pub async fn answer(&self, req: Request<Incoming>) -> Response<Body> {
         let (head, incoming) = req.into_parts();
-        let answer = match body::read_start(body::incoming(incoming), ORDER_BYTES).await {
+        let answer = match body::read_start(body::incoming(incoming), MAX_ORDER_BYTES).await {
             Ok(Start::Whole(bytes)) => match self.interface.read_order(&head, &bytes) {
-                Ok(order) => self.carry_out(order).await,
+                Ok(order) => self.execute(order).await,
                 Err(fault) => OrderAnswer::Invalid(fault),
             },
             Ok(Start::Longer(_)) => OrderAnswer::Invalid(Fault {
@@ -48,14 +49,14 @@
                 remedy: "send it again".into(),
             }),
         };
-        self.note(&answer);
+        self.record(&answer);
         self.interface.write_order_answer(&answer)
     }
 
-    async fn carry_out(&self, order: Order) -> OrderAnswer {
+    async fn execute(&self, order: Order) -> OrderAnswer {
         match order {
             Order::ReadRoutes => self.operators.read_routes().await,
-            Order::Intend(intent) => self.intend(intent).await,
+            Order::Intend(intent) => self.apply_intent(intent).await,
             Order::StartRollout(start) => self.start_rollout(start).await,
             Order::ReadRollout(service) => self.operators.read_rollout(&service).await,
             Order::ReplaceRoutes(order) => match routes::validate(&order.table) {
@@ -65,23 +66,22 @@
         }
     }
 
-    /// Carries an intent out, and returns once it is committed: it then outlasts what the log outlasts, and daemons
-    /// are told.
-    async fn intend(&self, intent: Intent) -> OrderAnswer {
+    /// Applies an intent. Returns once it is committed to the replicated log.
+    async fn apply_intent(&self, intent: Intent) -> OrderAnswer {
         let what = plan::describe(&intent);
         match self.registrar.register(vec![Change::Operator { intent }]).await {
             Ok(()) => {
-                log::info!("orders: {what} holds");
+                log::info!("orders: {what} is committed");
                 OrderAnswer::Intended
             }
             Err(e) => {
-                log::warn!("orders: {what} has no outcome: {}", e.message());
+                log::warn!("orders: the outcome of {what} is unknown: {}", e.message());
                 OrderAnswer::Unavailable
             }
         }
     }
 
-    /// Starts a roll-out, unless what holds speaks against it.
+    /// Starts a roll-out, unless the current state forbids it.
     async fn start_rollout(&self, start: RolloutStart) -> OrderAnswer {
         let RolloutStart { service, version, within } = start;
         let within_ms = within.as_millis().try_into().unwrap_or(u64::MAX);
@@ -90,7 +90,7 @@
             return OrderAnswer::Unavailable;
         }
         match self.operators.check(&intent) {
-            Ok(()) => self.intend(intent).await,
+            Ok(()) => self.apply_intent(intent).await,
             Err(e) => {
                 let fault = Fault { what: e.to_string(), remedy: e.remedy() };
                 match e {
@@ -101,9 +101,10 @@
         }
     }
 
-    fn note(&self, answer: &OrderAnswer) {
+    /// Logs a result and counts refusals.
+    fn record(&self, answer: &OrderAnswer) {
         match answer {
-            OrderAnswer::Held(number) => log::info!("orders: route table {number} holds"),
+            OrderAnswer::Held(number) => log::info!("orders: route table {number} is current"),
             OrderAnswer::Table(_) | OrderAnswer::Intended | OrderAnswer::Rollout { .. } => {}
             OrderAnswer::NoRollout => self.metrics.refuse("no-rollout"),
             OrderAnswer::Busy(fault) => {
--- a/crates/cherrystream-control/src/peers.rs
+++ b/crates/cherrystream-control/src/peers.rs
@@ -1,4 +1,4 @@
-//! Sends messages of the replicated log to the other replicas, and calls them.
+//! Connections to the other replicas, and the tasks that send them messages of the replicated log.
 
 use crate::handle::COMMIT_TIMEOUT;
 use crate::metrics::Metrics;
@@ -15,48 +15,47 @@
 use tokio::sync::Mutex;
 use tokio::task::{self, JoinSet};
 
-/// Longest time for one call: short messages, or one piece of a long one. No call here grows with the
-/// state, so this is a time without progress.
+/// Timeout of a call with short messages or with one piece of a long message. The size of such a
+/// call is bounded.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Bytes a second that a link carries at least for a call with a large order, beside all else: a seventh of
-/// the 340 KB a second of the thinnest links that were seen.
-const LEAST_RATE: f64 = 50_000.0;
-/// Time between attempts to connect.
-const RECONNECT: Duration = Duration::from_millis(200);
+/// Lowest throughput in bytes per second that the timeout of a large call allows for.
+const MIN_THROUGHPUT: f64 = 50_000.0;
+/// Delay before the next attempt to connect.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
-/// Senders to the other replicas.
+/// Sends messages to the other replicas.
 #[derive(Clone, Default)]
 pub struct Peers {
     own: u64,
     queues: BTreeMap<u64, Arc<Queue>>,
     lines: BTreeMap<u64, Arc<Line>>,
     metrics: Metrics,
-    /// Tasks that send; they end with this value.
-    _sending: Arc<JoinSet<()>>,
+    /// Sending tasks, aborted when the last clone is dropped.
+    _tasks: Arc<JoinSet<()>>,
 }
 
 impl Peers {
-    /// Starts sending tasks of a replica for each of the others.
+    /// Starts the tasks that send from replica `own` to each of the others.
     pub fn start(own: u64, others: &BTreeMap<u64, Arc<Line>>, metrics: Metrics) -> Peers {
         let mut queues = BTreeMap::new();
-        let mut sending = JoinSet::new();
+        let mut tasks = JoinSet::new();
         for (id, line) in others {
             let queue = Arc::new(Queue::new(metrics.clone()));
-            sending.spawn(send_short(line.clone(), queue.clone()));
-            sending.spawn(send_long(own, line.sibling(), queue.clone()));
+            tasks.spawn(send_short(line.clone(), queue.clone()));
+            tasks.spawn(send_long(own, line.sibling(), queue.clone()));
             queues.insert(*id, queue);
         }
-        Peers { own, queues, lines: others.clone(), metrics, _sending: Arc::new(sending) }
+        Peers { own, queues, lines: others.clone(), metrics, _tasks: Arc::new(tasks) }
     }
 
-    /// Notes where a replica is now.
+    /// Records the current address of a replica.
     pub fn set_address(&self, id: u64, address: &str) {
         if self.lines.get(&id).is_some_and(|line| line.set_address(address)) {
             log::info!("control: replica {id} is at {address}");
         }
     }
 
-    /// Queues messages; those that find no room are dropped.
+    /// Queues messages. Drops those that exceed the capacity of a queue.
     pub fn send(&self, messages: Vec<RaftMessage>) {
         for msg in messages {
             match self.queues.get(&msg.to) {
@@ -68,17 +67,18 @@
         }
     }
 
-    /// Returns the index of a snapshot on its way to a replica.
+    /// Returns the index of the snapshot that is being sent to a replica.
     pub fn snapshot_index(&self, to: u64) -> Option<u64> {
         self.queues.get(&to)?.snapshot_index()
     }
 
-    /// Returns the lowest index of the snapshots on their way.
+    /// Returns the lowest index of the snapshots that are being sent.
     pub fn lowest_snapshot_index(&self) -> Option<u64> {
         self.queues.values().filter_map(|queue| queue.snapshot_index()).min()
     }
 
-    /// Notes who leads: long messages are the leader's.
+    /// Records the leader. Drops queued long messages unless this replica leads: only the leader
+    /// sends them.
     pub fn note_leader(&self, leader: Option<u64>) {
         if leader.is_some_and(|leader| leader != self.own) {
             self.queues.values().for_each(|queue| queue.drop_long());
@@ -90,22 +90,23 @@
     loop {
         let messages = queue.next_short().await;
         let Some(client) = line.client().await else {
-            // What waits is stale by the time the replica is back.
+            // Queued messages are stale by the time the replica is reachable again.
             queue.finish_short(false);
             queue.drop_short();
-            tokio::time::sleep(RECONNECT).await;
+            tokio::time::sleep(RECONNECT_DELAY).await;
             continue;
         };
         let sent = client.raft(messages).await;
         queue.finish_short(sent.is_ok());
         if let Err(e) = sent {
-            log::debug!("control: replica at {} did not take messages: {e}", line.address());
+            log::debug!("control: sending messages to replica at {} failed: {e}", line.address());
             line.drop_client().await;
         }
     }
 }
 
-/// Sends long messages in pieces, on a connection of their own: what is short never waits for them.
+/// Sends long messages in pieces, on a separate connection so that short messages never wait for
+/// them.
 async fn send_long(own: u64, line: Line, queue: Arc<Queue>) {
     let mut piece_size = PieceSize::default();
     loop {
@@ -123,16 +124,16 @@
         };
         let mut sending = Sending::new(own, rand::random(), content, queue.clock().now());
         let start = Instant::now();
-        let arrived = send_pieces(&line, &queue, &mut sending, &mut piece_size).await;
+        let delivered = send_pieces(&line, &queue, &mut sending, &mut piece_size).await;
         let (bytes, address) = (sending.total(), line.address());
-        if arrived {
-            log::debug!("control: {bytes} bytes reached {address} in {:?}", start.elapsed());
+        if delivered {
+            log::debug!("control: sent {bytes} bytes to {address} in {:?}", start.elapsed());
         }
-        queue.finish_long(arrived);
+        queue.finish_long(delivered);
     }
 }
 
-/// Sends the pieces of a transfer; returns whether all arrived.
+/// Sends the pieces of a transfer. Returns whether all were delivered.
 async fn send_pieces(
     line: &Line,
     queue: &Queue,
@@ -141,7 +142,7 @@
 ) -> bool {
     while !sending.is_done() {
         let Some(term) = queue.wants_long(sending.share_left()) else {
-            log::debug!("control: a transfer to {} is of no use any more", line.address());
+            log::debug!("control: a transfer to {} is obsolete", line.address());
             return false;
         };
         let sent = Instant::now();
@@ -152,12 +153,12 @@
             }
             None => {
                 piece_size.on_failure();
-                tokio::time::sleep(RECONNECT).await;
+                tokio::time::sleep(RECONNECT_DELAY).await;
             }
         }
         if !sending.is_done() && sending.is_stalled(queue.clock().now()) {
             log::warn!(
-                "control: a transfer of {} bytes to {} made no progress for {:?} and is given up",
+                "control: a transfer of {} bytes to {} made no progress for {:?} and is aborted",
                 sending.total(),
                 line.address(),
                 transfer::STALL_TIMEOUT
@@ -173,7 +174,7 @@
     match client.piece(sending.piece(bytes, term)).await {
         Ok(reply) => Some(reply),
         Err(e) => {
-            log::debug!("control: replica at {} did not take a piece: {e}", line.address());
+            log::debug!("control: sending a piece to replica at {} failed: {e}", line.address());
             if !rpc::is_answer(&e) {
                 line.drop_client().await;
             }
@@ -182,25 +183,25 @@
     }
 }
 
-/// Returns the longest time for a call with so many bytes.
+/// Returns the timeout of a call with a payload of `bytes`.
 fn timeout_for(bytes: usize) -> Duration {
     match bytes {
         0 => CALL_TIMEOUT,
-        _ => COMMIT_TIMEOUT + Duration::from_secs_f64(bytes as f64 / LEAST_RATE),
+        _ => COMMIT_TIMEOUT + Duration::from_secs_f64(bytes as f64 / MIN_THROUGHPUT),
     }
 }
 
-/// A kept connection to a replica.
+/// A connection to a replica that is kept open between calls.
 pub struct Line {
     address: Arc<RwLock<String>>,
     key: Option<Secret>,
     timeout: Duration,
-    /// The connection, with the address that it was made to.
+    /// The open connection and the address that it leads to.
     client: Mutex<Option<(String, Arc<WsClient>)>>,
 }
 
 impl Line {
-    /// Creates a line that connects when first used.
+    /// Creates a connection that is opened by the first call.
     pub fn new(address: &str, key: Option<Secret>) -> Line {
         Line {
             address: Arc::new(RwLock::new(address.into())),
@@ -210,13 +211,13 @@
         }
     }
 
-    /// Creates a line of its own to the same replica, wherever that moves.
+    /// Creates a separate connection to the same replica. Both follow changes of its address.
     pub fn sibling(&self) -> Line {
         self.for_bytes(0)
     }
 
-    /// Creates a line as [`Line::sibling`] for one call with so many bytes, which may last as long as
-    /// these take, and until the leader knows the outcome.
+    /// Creates a connection like [`Line::sibling`] whose timeout covers the transfer of `bytes` and
+    /// the commit on the leader.
     pub fn for_bytes(&self, bytes: usize) -> Line {
         Line {
             address: self.address.clone(),
@@ -231,22 +232,22 @@
         self.address.read().clone()
     }
 
-    /// Notes where the replica is now; returns whether that is news.
+    /// Records the current address of the replica. Returns whether it changed.
     pub fn set_address(&self, address: &str) -> bool {
-        let mut now = self.address.write();
-        let moved = *now != address;
-        if moved {
-            *now = address.into();
+        let mut current = self.address.write();
+        let changed = *current != address;
+        if changed {
+            *current = address.into();
         }
-        moved
+        changed
     }
 
-    /// Returns the client, connecting first where needed.
+    /// Returns the client. Connects first if there is no open connection to the current address.
     pub async fn client(&self) -> Option<Arc<WsClient>> {
         let address = self.address();
         let mut slot = self.client.lock().await;
-        let kept = slot.as_ref().filter(|(at, c)| *at == address && c.is_connected());
-        if let Some((_, client)) = kept {
+        let open = slot.as_ref().filter(|(at, c)| *at == address && c.is_connected());
+        if let Some((_, client)) = open {
             return Some(client.clone());
         }
         match rpc::connect(&address, self.key.as_ref(), self.timeout).await {
@@ -262,7 +263,7 @@
         }
     }
 
-    /// Drops the connection, so that the next call makes a new one.
+    /// Closes the connection. The next call opens a new one.
     pub async fn drop_client(&self) {
         *self.client.lock().await = None;
     }
--- a/crates/cherrystream-control/src/role.rs
+++ b/crates/cherrystream-control/src/role.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of the control role together.
+//! Starts and stops the control role.
 
 use crate::api::{Api, Operator};
 use crate::arrivals::Arrivals;
@@ -32,22 +32,22 @@
 use std::time::Duration;
 use tokio::task::{self, JoinSet};
 
-/// Time between looks at whether to ask for a place.
-const LOOK: Duration = Duration::from_millis(100);
+/// Time between two checks for whether to request the member slot.
+const JOIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the control role needs besides its settings.
+/// Dependencies of the control role besides its settings.
 pub struct Context {
-    /// Phase of the process.
+    /// Phase of the process, such as closing.
     pub phases: Phases,
-    /// Key of the system's own processes.
+    /// Key shared by daemons and control replicas.
     pub key: Option<Secret>,
     /// Failure domain of this host.
     pub failure_domain: String,
-    /// Interface for operators' orders, beside the intent API.
+    /// Interface for operator commands, in addition to the intent API.
     pub orders: Option<Arc<dyn OrderInterface>>,
-    /// Metrics.
+    /// Metrics of the control role.
     pub metrics: Metrics,
-    /// Called with the reason when the role can no longer run.
+    /// Called with the error when the role stops because of a failure.
     pub on_failure: Box<dyn FnOnce(Error) + Send + Sync>,
 }
 
@@ -57,8 +57,8 @@
     thread: JoinHandle<()>,
     rpc: ServerHandle,
     api: task::JoinHandle<()>,
-    /// Asks for this replica's place; ends with this value.
-    _asking: JoinSet<()>,
+    /// Task that requests the member slot of this replica, aborted on drop.
+    _join_task: JoinSet<()>,
 }
 
 impl Control {
@@ -66,19 +66,19 @@
     ///
     /// # Errors
     ///
-    /// Fails when the data folder, an address or a token file cannot be used.
+    /// Fails if the data folder, an address or a token file cannot be used.
     pub async fn start(settings: &ControlSettings, cx: Context) -> Result<Control> {
         let folder = DiskFolder::try_new(&settings.data_folder)
             .map_err(errors::folder(format!("open {}", settings.data_folder)))?;
         let place = find_place(settings, &cx, &folder).await?;
         let lines = place.lines(cx.key.as_ref());
         let peers = Peers::start(place.identity.replica, &lines, cx.metrics.clone());
-        let known = Arc::new(read_operators(&settings.operators)?);
+        let credentials = Arc::new(read_operators(&settings.operators)?);
         let listener = serve::listen(&settings.api_address).await?;
         let opts = place.raft_options();
         let (handle, thread) =
             driver::start(folder, opts, peers, cx.metrics.clone(), cx.on_failure)?;
-        let mut asking = JoinSet::new();
+        let mut join_task = JoinSet::new();
         if !place.fixed {
             let request = JoinRequest {
                 address: settings.rpc_address.clone(),
@@ -87,16 +87,16 @@
                 stands_by: true,
                 runs_as: Some(handle.replica),
             };
-            asking.spawn(ask_to_be_heard(handle.clone(), request, cx.key.clone()));
+            join_task.spawn(keep_slot(handle.clone(), request, cx.key.clone()));
         }
         let reach = Arc::new(Reach::default());
-        // Calls have connections of their own, so that no message of the log waits behind an order.
+        // Calls use separate connections, so that no message of the log waits behind a large call.
         let lines = lines.into_iter().map(|(id, line)| (id, Arc::new(line.sibling())));
         let lines = Arc::new(lines.collect::<BTreeMap<_, _>>());
         let operators =
             Operators { handle: handle.clone(), lines: lines.clone(), reach: reach.clone() };
         let limits =
-            LedgerLimits { window_ms: settings.key_window_ms, keys_at_most: settings.keys_at_most };
+            LedgerLimits { window_ms: settings.key_window_ms, max_keys: settings.keys_at_most };
         let rpc = RpcServer {
             released: release::start(handle.clone()),
             handle: handle.clone(),
@@ -112,7 +112,7 @@
             metrics: cx.metrics.clone(),
         };
         let registrar = rpc.registrar.clone();
-        task::spawn(rpc.rollouts.clone().run(rollouts::Tools {
+        task::spawn(rpc.rollouts.clone().run(rollouts::Context {
             handle: handle.clone(),
             lines: rpc.lines.clone(),
             registrar: registrar.clone(),
@@ -125,7 +125,7 @@
             interface,
             metrics: cx.metrics.clone(),
         });
-        let api = Api { operators, known, orders, metrics: cx.metrics };
+        let api = Api { operators, credentials, orders, metrics: cx.metrics };
         let api = task::spawn(serve::serve(listener, cx.phases, move |req| {
             let api = api.clone();
             async move { api.answer(req).await }
@@ -134,7 +134,7 @@
             task::spawn(platform::watch(handle.clone(), url.clone()));
         }
         log::info!("control: API on {}, RPC on {}", settings.api_address, settings.rpc_address);
-        Ok(Control { handle, thread, rpc, api, _asking: asking })
+        Ok(Control { handle, thread, rpc, api, _join_task: join_task })
     }
 
     /// Returns the handle to the replicated log.
@@ -142,8 +142,8 @@
         &self.handle
     }
 
-    /// Hands the leadership over and ends once the last answers are out. The phase must be
-    /// closing by then.
+    /// Hands over the leadership and stops once pending responses are sent. The phase must be
+    /// closing.
     pub async fn stop(self) {
         self.handle.hand_over().await;
         let _ = self.api.await;
@@ -154,38 +154,38 @@
         log::info!("control: stopped");
     }
 
-    /// Lets go of the addresses and the data folder after the log has ended by itself. The phase must be closing
-    /// by then.
+    /// Releases the addresses and the data folder after the log has stopped because of a failure.
+    /// The phase must be closing.
     pub async fn abandon(self) {
         let Control { api, rpc, thread, .. } = self;
-        let aborting = api.abort_handle();
-        if tokio::time::timeout(LAST_ANSWERS, api).await.is_err() {
-            aborting.abort();
+        let abort_handle = api.abort_handle();
+        if tokio::time::timeout(DRAIN_TIMEOUT, api).await.is_err() {
+            abort_handle.abort();
         }
         let _ = rpc.stop();
-        if tokio::time::timeout(LAST_ANSWERS, rpc.stopped()).await.is_err() {
-            log::warn!("control: calls of the run that ended are still under way");
+        if tokio::time::timeout(DRAIN_TIMEOUT, rpc.stopped()).await.is_err() {
+            log::warn!("control: some RPC calls are still in flight after the log has stopped");
         }
         let _ = task::spawn_blocking(|| thread.join()).await;
     }
 }
 
-/// Longest wait for the answers under way when a run ends by itself: nobody commits or reads here any more.
-const LAST_ANSWERS: Duration = Duration::from_millis(500);
+/// Longest wait for pending responses after a failure.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Asks the others for this replica's place whenever that is due, and gives it up once a quorum says
-/// that it is lost.
-async fn ask_to_be_heard(handle: Handle, request: JoinRequest, key: Option<Secret>) {
+/// Requests the member slot of this replica from the others when due. Reports the replica as
+/// replaced once a quorum confirms that the slot is lost.
+async fn keep_slot(handle: Handle, request: JoinRequest, key: Option<Secret>) {
     let mut timer = JoinTimer::new(handle.clock.now());
-    let mut turn = 0;
+    let mut attempt = 0;
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(JOIN_CHECK_INTERVAL).await;
         if !timer.is_due(handle.clock.now(), handle.place_view()) {
             continue;
         }
         let addresses = handle.known_addresses();
-        turn += 1;
-        let Some(address) = addresses.get(turn % addresses.len().max(1)) else { continue };
+        attempt += 1;
+        let Some(address) = addresses.get(attempt % addresses.len().max(1)) else { continue };
         let reply = place::ask(address, &request, key.as_ref()).await;
         if reply.is_some_and(|reply| reply.place_lost) {
             let _ = handle.events.send(Event::Replaced);
--- a/crates/cherrystream-control/src/rollouts.rs
+++ b/crates/cherrystream-control/src/rollouts.rs
@@ -1,4 +1,5 @@
-//! Conducts roll-outs: brings the daemons' counts to the leader, and has it record the steps that are due.
+//! Runs roll-outs: forwards the daemons' request counts to the leader, which commits the steps that
+//! are due.
 
 use crate::handle::Handle;
 use crate::metrics::Metrics;
@@ -14,110 +15,117 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between looks at a roll-out that is under way.
-const LOOK: Duration = Duration::from_millis(100);
-/// Longest wait for the leader to take counts: they come again, and newer ones, with the next heartbeats.
-const TELL_WITHIN: Duration = Duration::from_millis(500);
+/// Time between two evaluations of the roll-outs in progress.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout for sending counts to the leader. Lost counts are replaced by those of the next
+/// heartbeats.
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The roll-outs that are under way, as this replica follows them.
+/// The roll-outs in progress, as observed by this replica.
 #[derive(Clone)]
 pub struct Rollouts {
-    conductor: Arc<Mutex<Controller>>,
-    /// Counts of daemons that were heard here and are not told to the leader yet. Taken with no other lock.
-    heard: Arc<Mutex<BTreeMap<String, HostTally>>>,
+    controller: Arc<Mutex<Controller>>,
+    /// Counts received from daemons and not yet forwarded to the leader, by host. Never locked
+    /// together with another lock.
+    unsent: Arc<Mutex<BTreeMap<String, HostTally>>>,
 }
 
-/// What conducting needs.
-pub struct Tools {
-    /// The replicated log.
+/// Dependencies of [`Rollouts::run`].
+pub struct Context {
+    /// Handle to the replicated log.
     pub handle: Handle,
-    /// Lines to the other replicas.
+    /// Connections to the other replicas.
     pub lines: Arc<BTreeMap<u64, Arc<Line>>>,
-    /// Has the leader record steps.
+    /// Commits steps through the leader.
     pub registrar: Registrar,
-    /// Metrics.
+    /// Metrics of the control role.
     pub metrics: Metrics,
 }
 
 impl Rollouts {
-    /// Creates the roll-outs of a replica.
+    /// Creates the roll-out state of a replica.
     pub fn new(limits: Limits) -> Rollouts {
-        let conductor = Arc::new(Mutex::new(Controller::new(limits)));
-        Rollouts { conductor, heard: Arc::default() }
+        let controller = Arc::new(Mutex::new(Controller::new(limits)));
+        Rollouts { controller, unsent: Arc::default() }
     }
 
-    /// Takes what a daemon of this replica has counted.
-    pub fn hear(&self, word: HostTally) {
-        self.heard.lock().insert(word.host.clone(), word);
+    /// Records the counts of a daemon that sends its heartbeats to this replica.
+    pub fn record_counts(&self, tally: HostTally) {
+        self.unsent.lock().insert(tally.host.clone(), tally);
     }
 
-    /// Takes what daemons of another replica have counted.
-    pub fn take(&self, handle: &Handle, words: &[HostTally]) {
+    /// Passes counts of daemons to the controller.
+    pub fn on_counts(&self, handle: &Handle, tallies: &[HostTally]) {
         let now = handle.clock.now();
-        let mut conductor = self.conductor.lock();
-        words.iter().for_each(|word| conductor.on_tally(now, word));
+        let mut controller = self.controller.lock();
+        tallies.iter().for_each(|tally| controller.on_tally(now, tally));
     }
 
-    /// Runs for as long as the process does.
-    pub async fn run(self, tools: Tools) {
-        let mut standing = tools.handle.standing.clone();
+    /// Runs until the replicated log ends.
+    pub async fn run(self, cx: Context) {
+        let mut standing = cx.handle.standing.clone();
         loop {
-            if !self.is_any_under_way(&tools.handle) {
-                self.heard.lock().clear();
+            if !self.is_any_in_progress(&cx.handle) {
+                self.unsent.lock().clear();
                 if standing.changed().await.is_err() {
                     return;
                 }
-                // Applied entries come in bursts.
-                tokio::time::sleep(LOOK).await;
+                // Entries are applied in bursts: handles a whole burst at once.
+                tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             }
-            self.bring_counts(&tools).await;
-            self.take_steps(&tools).await;
-            tokio::time::sleep(LOOK).await;
+            self.forward_counts(&cx).await;
+            self.commit_due_steps(&cx).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn is_any_under_way(&self, handle: &Handle) -> bool {
+    fn is_any_in_progress(&self, handle: &Handle) -> bool {
         let state = handle.state.read();
         state.shared().config.rollouts.values().any(rollout::is_in_progress)
     }
 
-    async fn bring_counts(&self, tools: &Tools) {
-        let words: Vec<HostTally> = std::mem::take(&mut *self.heard.lock()).into_values().collect();
-        let standing = *tools.handle.standing.borrow();
-        if words.is_empty() {
+    async fn forward_counts(&self, cx: &Context) {
+        let tallies: Vec<HostTally> =
+            std::mem::take(&mut *self.unsent.lock()).into_values().collect();
+        let standing = *cx.handle.standing.borrow();
+        if tallies.is_empty() {
             return;
         }
-        // This replica follows as well, so that it knows them should it lead.
-        self.take(&tools.handle, &words);
+        // A follower evaluates the counts too, to have them if it becomes the leader.
+        self.on_counts(&cx.handle, &tallies);
         let Some(leader) = standing.leader.filter(|_| !standing.leads) else { return };
-        let Some(line) = tools.lines.get(&leader) else { return };
-        let telling = async {
+        let Some(line) = cx.lines.get(&leader) else { return };
+        let forwarding = async {
             let client = line.client().await?;
-            client.tally(words).await.ok()
+            client.tally(tallies).await.ok()
         };
-        if !matches!(tokio::time::timeout(TELL_WITHIN, telling).await, Ok(Some(()))) {
-            log::debug!("control: the leader, replica {leader}, did not take counts of a roll-out");
+        if !matches!(tokio::time::timeout(FORWARD_TIMEOUT, forwarding).await, Ok(Some(()))) {
+            log::debug!(
+                "control: the leader, replica {leader}, did not accept the counts of a roll-out"
+            );
         }
     }
 
-    async fn take_steps(&self, tools: &Tools) {
-        let handle = &tools.handle;
+    async fn commit_due_steps(&self, cx: &Context) {
+        let handle = &cx.handle;
         let at = Moment { now: handle.clock.now(), unix_ms: clock::unix_ms() };
         let due = {
             let state = handle.state.read();
-            self.conductor.lock().decide(at, state.shared())
+            self.controller.lock().decide(at, state.shared())
         };
         if due.is_empty() || !handle.standing.borrow().leads {
             return;
         }
-        let told: Vec<String> = due.iter().map(describe).collect();
-        match tools.registrar.register(due).await {
-            Ok(()) => told.iter().for_each(|step| {
+        let descriptions: Vec<String> = due.iter().map(describe).collect();
+        match cx.registrar.register(due).await {
+            Ok(()) => descriptions.iter().for_each(|step| {
                 log::info!("control: roll-out of {step}");
-                tools.metrics.rollout_steps.inc();
+                cx.metrics.rollout_steps.inc();
             }),
-            Err(e) => log::warn!("control: a step of a roll-out has no outcome: {}", e.message()),
+            Err(e) => {
+                log::warn!("control: the outcome of a roll-out step is unknown: {}", e.message())
+            }
         }
     }
 }
--- a/crates/cherrystream-control/src/rpc_server.rs
+++ b/crates/cherrystream-control/src/rpc_server.rs
@@ -1,4 +1,4 @@
-//! The RPC interface of this replica: for daemons, and for the other replicas.
+//! RPC server of a control replica, called by daemons and by the other replicas.
 
 use crate::arrivals::Arrivals;
 use crate::distribution::{Distribution, Lacking};
@@ -33,60 +33,62 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Connections that one replica takes: every daemon may come when the other replicas are gone.
-const CONNECTIONS: u32 = 4_096;
-/// Longest wait for a change that one heartbeat may ask for.
-const WAIT_AT_MOST: Duration = Duration::from_secs(10);
-/// Time between looks at whether a daemon may have now what another one is fetching: a fifth of a heartbeat's wait.
-const LOOK_AGAIN: Duration = Duration::from_millis(80);
-/// Longest wait until a registration that is committed is applied here: far less than whoever reported it waits.
-const WAIT_FOR_REGISTRATION: Duration = Duration::from_millis(300);
-/// When a claim refused for want of room is worth sending again.
-const FULL_RETRY_MS: u64 = 5_000;
+/// Maximum number of connections: all daemons connect to one replica when the others are
+/// unreachable.
+const MAX_CONNECTIONS: u32 = 4_096;
+/// Longest wait for a change that a heartbeat may request.
+const MAX_WAIT: Duration = Duration::from_secs(10);
+/// Time between two checks for whether a daemon may fetch an update that another daemon is
+/// fetching.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(80);
+/// Longest wait until a committed registration is applied on this replica.
+const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(300);
+/// Retry delay for a claim that is refused because the ledger is full.
+const LEDGER_FULL_RETRY_MS: u64 = 5_000;
 
-/// Limits of the ledger.
+/// Limits of the ledger of idempotency keys.
 #[derive(Clone, Copy, Debug)]
 pub struct LedgerLimits {
-    /// Milliseconds for which a key is kept.
+    /// Time for which a key is kept, in milliseconds.
     pub window_ms: u64,
-    /// Keys kept at most.
-    pub keys_at_most: u64,
+    /// Maximum number of keys.
+    pub max_keys: u64,
 }
 
-/// The RPC interface.
+/// Handles RPC calls of daemons and replicas.
 #[derive(Clone)]
 pub struct RpcServer {
-    /// The replicated log.
+    /// Handle to the replicated log.
     pub handle: Handle,
-    /// Revision that daemons may be told of.
+    /// Newest revision that is announced to daemons.
     pub released: watch::Receiver<Revision>,
-    /// Lines to the other replicas.
+    /// Connections to the other replicas.
     pub lines: Arc<BTreeMap<u64, Arc<Line>>>,
-    /// Daemons heard.
+    /// Daemons that send heartbeats to this replica.
     pub reach: Arc<Reach>,
-    /// Updates for daemons.
+    /// Selects and encodes updates for daemons.
     pub distribution: Arc<Distribution>,
-    /// Operators' calls.
+    /// Handles operator calls.
     pub operators: Operators,
-    /// Registrations of daemons and instances.
+    /// Commits registrations of daemons and instances.
     pub registrar: Registrar,
-    /// Roll-outs that are under way.
+    /// Roll-outs in progress.
     pub rollouts: Rollouts,
-    /// Long messages on their way here.
+    /// Long messages that are being received in pieces.
     pub arrivals: Arrivals,
-    /// Limits of the ledger.
+    /// Limits of the ledger of idempotency keys.
     pub limits: LedgerLimits,
-    /// Failure domain of this host, where replicas come and go.
+    /// Failure domain of this host; `None` if the set of replicas is fixed.
     pub failure_domain: Option<String>,
-    /// Metrics.
+    /// Metrics of the control role.
     pub metrics: Metrics,
 }
 
-/// Serves the RPC interface of control at an address.
+/// Serves the RPC methods of control on an address.
 ///
 /// # Errors
 ///
-/// Fails when the address cannot be used.
+/// Fails if the address cannot be listened on.
 pub async fn serve(
     server: impl ControlRpcServer,
     address: &str,
@@ -97,7 +99,7 @@
     let cfg = ServerConfig::builder()
         .max_request_body_size(MESSAGE_BYTES)
         .max_response_body_size(MESSAGE_BYTES)
-        .max_connections(CONNECTIONS)
+        .max_connections(MAX_CONNECTIONS)
         .build();
     let failed = |source| Error::Rpc { address: address.into(), source };
     let listener = Server::builder()
@@ -110,11 +112,11 @@
 }
 
 impl RpcServer {
-    /// Starts to serve.
+    /// Starts to serve on an address.
     ///
     /// # Errors
     ///
-    /// Fails when the address cannot be listened on.
+    /// Fails if the address cannot be listened on.
     pub async fn serve(self, address: &str, key: Option<Secret>) -> Result<ServerHandle> {
         let metrics = self.metrics.clone();
         serve(self, address, key, metrics).await
@@ -136,27 +138,27 @@
         }
     }
 
-    /// Records a daemon whose registration is new or has changed, and the instance beside it; returns whether the
-    /// instance is news.
+    /// Commits the registration of a daemon and of its backend server instance, where they are new
+    /// or have changed. Returns whether the instance was registered.
     async fn register(&self, req: &SyncRequest) -> Result<bool, ErrorObjectOwned> {
         let record = &req.record;
         let mut changes = Vec::new();
         if self.handle.state.read().shared().hosts.get(&record.host) != Some(record) {
             changes.push(Change::PutHost { record: record.clone() });
         }
-        let news = req.instance.as_ref().filter(|i| !self.is_registered(&record.host, i));
-        changes.extend(news.map(|instance| {
+        let unregistered = req.instance.as_ref().filter(|i| !self.is_registered(&record.host, i));
+        changes.extend(unregistered.map(|instance| {
             let host = record.host.clone();
             Change::PutInstance { host, instance: instance.clone() }
         }));
         if !changes.is_empty() {
             self.registrar.register(changes).await?;
         }
-        let Some(instance) = news else { return Ok(false) };
-        // Another replica may have applied it, and this one not yet.
+        let Some(instance) = unregistered else { return Ok(false) };
+        // The leader has applied the registration; this replica may lag behind.
         let mut standing = self.handle.standing.clone();
         let applied = standing.wait_for(|_| self.is_registered(&record.host, instance));
-        let _ = tokio::time::timeout(WAIT_FOR_REGISTRATION, applied).await;
+        let _ = tokio::time::timeout(REGISTRATION_TIMEOUT, applied).await;
         Ok(true)
     }
 
@@ -165,7 +167,7 @@
         instances::register(state.shared().instances.get(host), instance).is_none()
     }
 
-    /// Returns the answer to a heartbeat with what the daemon lacks.
+    /// Returns the reply to a heartbeat.
     fn sync_reply(&self, req: &SyncRequest, lacking: Lacking) -> SyncReply {
         let (update, offer) = match lacking {
             Lacking::Nothing | Lacking::Later => (None, None),
@@ -173,7 +175,7 @@
             Lacking::Long(offer) => (None, Some(offer)),
         };
         let state = self.handle.state.read();
-        let age = self.handle.state_word().age();
+        let age = self.handle.state_contact().age();
         let mut control = self.handle.known_replicas();
         if replica_choice::checksum(&control) == req.control_known {
             control.clear();
@@ -189,9 +191,9 @@
         }
     }
 
-    /// Waits until there is something that a daemon may have now, or the wait is over.
+    /// Waits until there is an update that the daemon may receive, or until the deadline.
     async fn lacking(&self, req: &SyncRequest, until: Instant) -> Lacking {
-        // One that asks for all that is accepted gets what is not told to others yet, too.
+        // A confirmed read also returns changes that are committed and not announced yet.
         if !req.confirmed && *self.released.borrow() <= req.held {
             return Lacking::Nothing;
         }
@@ -201,19 +203,19 @@
             let lacking = self.distribution.lacking(now, state, req, &self.reach);
             let waits = match lacking {
                 Lacking::Later => true,
-                // Something newer is there, but not for this daemon now.
+                // There is a newer revision, and this daemon may not fetch it yet.
                 Lacking::Nothing => *self.released.borrow() > req.held,
                 Lacking::Short(_) | Lacking::Long(_) => false,
             };
-            if !waits || Instant::now() + LOOK_AGAIN > until {
+            if !waits || Instant::now() + RECHECK_INTERVAL > until {
                 return lacking;
             }
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(RECHECK_INTERVAL).await;
         }
     }
 
-    /// Lets a replica in. That a place is lost is said only with a quorum's word, for a replica gives
-    /// its data up on it: a leader that was deposed without knowing could be wrong.
+    /// Decides on a join request. Confirms a lost slot with a quorum, since the replica discards
+    /// its data in response: the decision of a deposed leader could be wrong.
     async fn admit_by_quorum(&self, req: &JoinRequest) -> Result<JoinDecision, NoResult> {
         let decision = self.handle.admit(req.clone()).await?;
         if decision != JoinDecision::SlotLost {
@@ -229,7 +231,8 @@
         let _ = tokio::time::timeout_at(until.into(), changed).await;
     }
 
-    /// Refuses a claim that the ledger must not take, before it goes to the log.
+    /// Returns the refusal of a claim whose key is too old or for which the ledger has no free
+    /// capacity.
     fn check_claim(&self, req: &ClaimRequest, now_ms: u64) -> Option<ClaimReply> {
         let oldest = now_ms.saturating_sub(self.limits.window_ms);
         if ledger::key_time_ms(&req.key).is_some_and(|made| made < oldest) {
@@ -237,10 +240,10 @@
             return Some(ClaimReply::TooOld);
         }
         let state = self.handle.state.read();
-        let full = state.ledger().len() as u64 >= self.limits.keys_at_most;
+        let full = state.ledger().len() as u64 >= self.limits.max_keys;
         if full && !state.ledger().holds(&req.service, &req.key) {
             self.metrics.refuse("ledger-full");
-            return Some(ClaimReply::Full { retry_after_ms: FULL_RETRY_MS });
+            return Some(ClaimReply::Full { retry_after_ms: LEDGER_FULL_RETRY_MS });
         }
         None
     }
@@ -259,17 +262,17 @@
         self.reach.hear(self.handle.clock.now(), &req);
         if let Some(tally) = req.tally.clone() {
             let HostRecord { host, incarnation, .. } = req.record.clone();
-            self.rollouts.hear(HostTally { host, incarnation, tally });
+            self.rollouts.record_counts(HostTally { host, incarnation, tally });
         }
         let wait = if req.looks_in { 0 } else { req.wait_ms };
-        let wait = Duration::from_millis(wait).min(WAIT_AT_MOST);
+        let wait = Duration::from_millis(wait).min(MAX_WAIT);
         let mut until = Instant::now() + wait;
         match self.register(&req).await {
             Ok(false) => {}
-            // Whoever reported the instance waits for the word that it is registered.
+            // The daemon waits for the confirmation of the registration: replies at once.
             Ok(true) => until = Instant::now(),
             Err(e) => {
-                log::debug!("control: host {} is not registered yet: {e}", req.record.host);
+                log::debug!("control: registration of host {} failed: {e}", req.record.host);
                 return Err(e);
             }
         }
@@ -278,8 +281,8 @@
             confirmed.map_err(|e| self.no_result(e))?;
             until = Instant::now();
         } else {
-            let known = req.fetching.as_ref().map_or(req.held, |f| f.id.to.max(req.held));
-            self.wait_for_change(known, until).await;
+            let pending = req.fetching.as_ref().map_or(req.held, |f| f.id.to.max(req.held));
+            self.wait_for_change(pending, until).await;
         }
         let lacking = self.lacking(&req, until).await;
         Ok(self.sync_reply(&req, lacking))
@@ -299,7 +302,7 @@
                 }
                 Ok(reply)
             }
-            Ok(_) => Err(rpc::unavailable("the claim had no result; send it again")),
+            Ok(_) => Err(rpc::unavailable("the outcome of the claim is unknown; send it again")),
             Err(e) => Err(self.no_result(e)),
         }
     }
@@ -344,7 +347,7 @@
 
     async fn replace_routes(&self, number: u64, packed: String) -> RpcResult<RouteOrderReply> {
         let order = Command::ReplaceRoutes { packed, number };
-        self.operators.order_routes_here(order).await.map_err(|e| self.no_result(e))
+        self.operators.submit_routes_here(order).await.map_err(|e| self.no_result(e))
     }
 
     async fn patch_routes(
@@ -354,7 +357,7 @@
         packed: String,
     ) -> RpcResult<RouteOrderReply> {
         let order = Command::PatchRoutes { base, number, packed };
-        self.operators.order_routes_here(order).await.map_err(|e| self.no_result(e))
+        self.operators.submit_routes_here(order).await.map_err(|e| self.no_result(e))
     }
 
     async fn share(&self, changes: Vec<Change>) -> RpcResult<()> {
@@ -362,21 +365,21 @@
         shared.map(|_| ()).map_err(|e| self.no_result(e))
     }
 
-    async fn tally(&self, words: Vec<HostTally>) -> RpcResult<()> {
-        self.rollouts.take(&self.handle, &words);
+    async fn tally(&self, tallies: Vec<HostTally>) -> RpcResult<()> {
+        self.rollouts.on_counts(&self.handle, &tallies);
         Ok(())
     }
 
     async fn piece(&self, piece: Piece) -> RpcResult<PieceReply> {
         if !self.lines.contains_key(&piece.from) {
             self.metrics.refuse("unknown-replica");
-            return Err(rpc::unavailable("this replica knows no such sender"));
+            return Err(rpc::unavailable("the sender is not a replica of this group"));
         }
         let from = piece.from;
         match self.arrivals.take(self.handle.clock.now(), piece).await {
             Ok(held) => Ok(PieceReply { held }),
             Err(e) => {
-                log::debug!("control: a piece of replica {from} is refused: {e}");
+                log::debug!("control: a piece from replica {from} is rejected: {e}");
                 self.metrics.refuse("bad-piece");
                 Ok(PieceReply { held: 0 })
             }
--- a/crates/cherrystream-control/src/tables.rs
+++ b/crates/cherrystream-control/src/tables.rs
@@ -1,4 +1,5 @@
-//! Orders to replace the route table: what differs from the table that holds goes through the log.
+//! Replaces the route table: sends the difference from the current table through the replicated
+//! log.
 
 use crate::handle::NoResult;
 use crate::operators::Operators;
@@ -9,36 +10,36 @@
 use cherrystream_schema::messages::{Command, RouteOrder, RouteOrderReply};
 use std::time::Duration;
 
-/// Times that an order is sent as what differs from the table that holds, before it goes as a whole: orders that run
-/// beside it may be quicker.
-const PATCHES_TRIED: usize = 2;
-/// Longest wait until a table that the leader holds is applied here.
+/// Attempts to send a table as a patch before it is sent as a whole. A patch fails if another table
+/// is committed first.
+const MAX_PATCH_ATTEMPTS: usize = 2;
+/// Longest wait until the current table of the leader is applied on this replica.
 const TABLE_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Operators {
-    /// Replaces the route table, on the leader, which may be another replica. What differs from the table that holds
-    /// is all that travels: tables may be long, and most changes are short.
+    /// Replaces the route table through the leader. Sends only the difference from the current
+    /// table where possible: tables may be long, and most changes are short.
     pub async fn replace_routes(&self, order: &RouteOrder) -> OrderAnswer {
-        for _ in 0..PATCHES_TRIED {
+        for _ in 0..MAX_PATCH_ATTEMPTS {
             let Some(patch) = self.patch(order) else { break };
-            match self.order_routes(patch).await {
+            match self.submit_routes(patch).await {
                 Some(reply) if reply.taken => return OrderAnswer::Held(reply.number),
-                // Another order was quicker, or this replica lags.
+                // Another table was committed first, or this replica lags behind.
                 Some(reply) => self.wait_for_table(reply.number).await,
                 None => return OrderAnswer::Unavailable,
             }
         }
-        // What is applied is committed, so a table that is not newer changes nothing.
+        // The applied table is committed, so a table that is not newer changes nothing.
         let (held, number) = (self.handle.state.read().route_number(), order.table.number);
         if number <= held {
             return OrderAnswer::Held(held);
         }
-        let whole = Command::ReplaceRoutes { packed: routes::pack(order), number };
-        let reply = self.order_routes(whole).await;
+        let command = Command::ReplaceRoutes { packed: routes::pack(order), number };
+        let reply = self.submit_routes(command).await;
         reply.map_or(OrderAnswer::Unavailable, |reply| OrderAnswer::Held(reply.number))
     }
 
-    /// Returns what leads from the table that holds to a newer one.
+    /// Returns a patch from the current table to a newer one.
     fn patch(&self, order: &RouteOrder) -> Option<Command> {
         let (base, patch) = {
             let state = self.handle.state.read();
@@ -57,16 +58,16 @@
         let _ = tokio::time::timeout(TABLE_TIMEOUT, standing.wait_for(|_| held())).await;
     }
 
-    /// Has an order of a route table carried out by the leader; `None` when the outcome is not known.
-    async fn order_routes(&self, order: Command) -> Option<RouteOrderReply> {
-        let leader = match self.order_routes_here(order.clone()).await {
+    /// Commits a route table command through the leader. Returns `None` if the outcome is unknown.
+    async fn submit_routes(&self, command: Command) -> Option<RouteOrderReply> {
+        let leader = match self.submit_routes_here(command.clone()).await {
             Ok(reply) => return Some(reply),
             Err(NoResult::NotLeader { leader }) => leader?,
             Err(NoResult::Unknown) => return None,
         };
         let line = self.lines.get(&leader)?;
-        // The call may last as long as its bytes take.
-        let ordered = match order {
+        // The timeout grows with the size of the call.
+        let reply = match command {
             Command::PatchRoutes { base, number, packed } => {
                 let client = line.for_bytes(packed.len()).client().await?;
                 client.patch_routes(base, number, packed).await
@@ -77,16 +78,20 @@
             }
             _ => return None,
         };
-        ordered.inspect_err(|e| log::warn!("control: an order has no outcome: {e}")).ok()
+        reply
+            .inspect_err(|e| {
+                log::warn!("control: the outcome of a route table command is unknown: {e}")
+            })
+            .ok()
     }
 
-    /// Carries an order of a route table out on this replica.
+    /// Commits a route table command on this replica.
     ///
     /// # Errors
     ///
-    /// Fails on a replica that does not lead, or when the outcome is not known.
-    pub async fn order_routes_here(&self, order: Command) -> Result<RouteOrderReply, NoResult> {
-        match self.handle.propose(order).await? {
+    /// Fails if this replica is not the leader or the outcome is unknown.
+    pub async fn submit_routes_here(&self, command: Command) -> Result<RouteOrderReply, NoResult> {
+        match self.handle.propose(command).await? {
             Applied::CurrentRoutes(number) => Ok(RouteOrderReply { number, taken: true }),
             Applied::RouteConflict(number) => Ok(RouteOrderReply { number, taken: false }),
             _ => Err(NoResult::Unknown),
