--- a/crates/cherrystream-control/tests/leaderless.rs
+++ b/crates/cherrystream-control/tests/leaderless.rs
@@ -1,4 +1,4 @@
-//! Daemons that come to a replica before there is a leader.
+//! Heartbeats of daemons to a replica of a group without a leader.
 
 use cherrystream_control::role::{Context, Control};
 use cherrystream_core::settings;
@@ -9,8 +9,8 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Longest time for a call.
-const CALL: Duration = Duration::from_secs(5);
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn base() -> String {
     format!("127.90.{}", 1 + std::process::id() % 250)
@@ -31,7 +31,7 @@
         failure_domain: all.failure_domain.clone(),
         orders: None,
         metrics: Default::default(),
-        on_failure: Box::new(|what| panic!("{what}")),
+        on_failure: Box::new(|e| panic!("{e}")),
     };
     Control::start(all.control.as_ref().unwrap(), cx).await.unwrap()
 }
@@ -58,14 +58,15 @@
     }
 }
 
-/// Load: a daemon that asks again 40 ms after each refusal, while a group is founded 0.5 s after its first replica.
+/// Guards against a busy loop of refusals: a daemon retries 40 ms after each refusal, and the group is
+/// bootstrapped 0.5 s after its first replica starts.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_daemon_is_not_refused_again_and_again_while_there_is_no_leader() {
+async fn heartbeats_are_rarely_refused_while_there_is_no_leader() {
     let folder = tempfile::tempdir().unwrap();
     let _first = start(1, folder.path()).await;
     let started = Instant::now();
-    let asking = tokio::spawn(async {
-        let client = rpc::connect(&format!("{}.1:7620", base()), None, CALL).await.unwrap();
+    let daemon = tokio::spawn(async {
+        let client = rpc::connect(&format!("{}.1:7620", base()), None, CALL_TIMEOUT).await.unwrap();
         let mut refused = 0;
         while client.sync(heartbeat()).await.is_err() {
             refused += 1;
@@ -75,8 +76,8 @@
     });
     tokio::time::sleep(Duration::from_millis(500)).await;
     let _others = (start(2, folder.path()).await, start(3, folder.path()).await);
-    let refused = asking.await.unwrap();
+    let refused = daemon.await.unwrap();
     let took = started.elapsed();
-    let at_most = 1 + took.as_millis() / 400;
-    assert!(refused <= at_most, "refused {refused} times in {took:?}");
+    let max_refusals = 1 + took.as_millis() / 400;
+    assert!(refused <= max_refusals, "refused {refused} times in {took:?}");
 }
--- a/crates/cherrystream-control/tests/lines.rs
+++ b/crates/cherrystream-control/tests/lines.rs
@@ -1,6 +1,6 @@
-//! Calls between replicas over a thin link.
+//! Calls between replicas over a link with low bandwidth.
 
-// Shared with the tests of processes, which use more of it.
+// Shared with the process tests, which use more of it.
 #[allow(dead_code)]
 #[path = "../../cherrystream/tests/processes/support/relay.rs"]
 mod relay;
@@ -15,13 +15,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bytes a second of the link.
-const THIN: u64 = 340_000;
-/// Bytes of a large order.
-const ORDER: usize = 1_000_000;
+/// Bandwidth of the link in bytes per second.
+const LINK_BANDWIDTH: u64 = 340_000;
+/// Size of a large call in bytes.
+const LARGE_CALL_BYTES: usize = 1_000_000;
 
-/// Starts a replica that answers every call, behind a thin link; returns a line to it.
-async fn line() -> (Line, Relay) {
+/// Starts a standby replica behind the link and returns a connection to it.
+async fn connect() -> (Line, Relay) {
     let free = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = free.local_addr().unwrap().to_string();
     drop(free);
@@ -29,33 +29,34 @@
     let server = rpc_server::serve(standby, &address, None, Metrics::default()).await.unwrap();
     tokio::spawn(server.stopped());
     let relay = Relay::start("127.0.0.1:0", &address).await;
-    relay.set(Mode::Rate(THIN));
+    relay.set(Mode::Rate(LINK_BANDWIDTH));
     (Line::new(&relay.address, None), relay)
 }
 
-/// The time for a call that grows with what it carries follows its size.
+/// Guards against a timeout that does not grow with the size of the call.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_order_is_passed_on_over_a_thin_link() {
-    let (line, _relay) = line().await;
-    let client = line.for_bytes(ORDER).client().await.unwrap();
-    let e = client.replace_routes(1, "x".repeat(ORDER)).await.unwrap_err();
+async fn a_large_call_does_not_time_out_over_a_slow_link() {
+    let (line, _relay) = connect().await;
+    let client = line.for_bytes(LARGE_CALL_BYTES).client().await.unwrap();
+    let e = client.replace_routes(1, "x".repeat(LARGE_CALL_BYTES)).await.unwrap_err();
     assert!(rpc::is_answer(&e), "{e}");
 }
 
+/// Guards against short calls that wait behind a large one.
 #[tokio::test(flavor = "multi_thread")]
-async fn short_calls_do_not_wait_behind_a_large_order() {
-    let (line, _relay) = line().await;
+async fn short_calls_do_not_wait_behind_a_large_call() {
+    let (line, _relay) = connect().await;
     let line = Arc::new(line);
     let large = line.clone();
-    let order = tokio::spawn(async move {
-        let client = large.for_bytes(ORDER).client().await.unwrap();
-        client.replace_routes(1, "x".repeat(ORDER)).await
+    let large_call = tokio::spawn(async move {
+        let client = large.for_bytes(LARGE_CALL_BYTES).client().await.unwrap();
+        client.replace_routes(1, "x".repeat(LARGE_CALL_BYTES)).await
     });
     tokio::time::sleep(Duration::from_millis(200)).await;
     for _ in 0..5 {
         let e = line.client().await.unwrap().read_index().await.unwrap_err();
         assert!(rpc::is_answer(&e), "{e}");
     }
-    assert!(!order.is_finished(), "the order was to be on its way meanwhile");
-    assert!(rpc::is_answer(&order.await.unwrap().unwrap_err()));
+    assert!(!large_call.is_finished(), "the large call ended before the short ones");
+    assert!(rpc::is_answer(&large_call.await.unwrap().unwrap_err()));
 }
