--- a/crates/cherrystream-net/src/body.rs
+++ b/crates/cherrystream-net/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers.
+//! Bodies of requests and responses.
 
 use bytes::Bytes;
 use http_body::{Body as _, Frame, SizeHint};
@@ -7,12 +7,12 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Error of a body.
+/// Error of reading a body.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 /// A body of any kind.
 pub type Body = BoxBody<Bytes, BoxError>;
 
-/// Returns a body that is held whole.
+/// Returns a body with the given content.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|e| match e {}).boxed()
 }
@@ -22,26 +22,26 @@
     full(Bytes::new())
 }
 
-/// Returns a body that comes from a connection.
+/// Returns a body that is received from a connection.
 pub fn incoming(body: hyper::body::Incoming) -> Body {
     body.map_err(|e| Box::new(e) as BoxError).boxed()
 }
 
-/// What reading the beginning of a body gave.
+/// Result of [`read_start`].
 pub enum Start {
     /// The whole body.
     Whole(Bytes),
-    /// A body longer than the limit, with what was read put back.
+    /// A body longer than the limit, which still yields the bytes already read.
     Longer(Body),
 }
 
-/// Reads a body of at most `limit` bytes whole.
+/// Reads a whole body if it has at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// Fails when the body breaks.
+/// Fails if the body ends early.
 pub async fn read_start(mut body: Body, limit: usize) -> Result<Start, BoxError> {
-    // A body that announces more than the limit need not be collected first.
+    // Avoids buffering a body that announces more than the limit.
     if body.size_hint().lower() > limit as u64 {
         return Ok(Start::Longer(body));
     }
@@ -58,11 +58,12 @@
     Ok(Start::Whole(join(chunks)))
 }
 
-/// Reads the first bytes of a body, and puts them back: at least `limit` of them, where it has as many.
+/// Returns the first bytes of a body, at least `limit` if it has as many, and a body that yields
+/// all bytes.
 ///
 /// # Errors
 ///
-/// Fails when the body breaks.
+/// Fails if the body ends early.
 pub async fn read_prefix(mut body: Body, limit: usize) -> Result<(Bytes, Body), BoxError> {
     let mut chunks = Vec::new();
     let mut len = 0;
@@ -84,7 +85,7 @@
     }
 }
 
-/// A body whose beginning was read already.
+/// A body that yields buffered chunks before the rest.
 struct Prefixed {
     chunks: std::collections::VecDeque<Bytes>,
     rest: Body,
@@ -109,34 +110,34 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        let held: u64 = self.chunks.iter().map(|c| c.len() as u64).sum();
+        let buffered: u64 = self.chunks.iter().map(|c| c.len() as u64).sum();
         let rest = self.rest.size_hint();
         let mut hint = SizeHint::new();
-        hint.set_lower(held + rest.lower());
+        hint.set_lower(buffered + rest.lower());
         if let Some(upper) = rest.upper() {
-            hint.set_upper(held + upper);
+            hint.set_upper(buffered + upper);
         }
         hint
     }
 }
 
-/// What a [`Watched`] body tells when it ends.
+/// How a [`Watched`] body ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// It was read to its end.
+    /// The body was read to its end.
     Whole,
-    /// It broke, or its reader went away.
+    /// The body failed, or was dropped before its end.
     Broken,
 }
 
-/// A body that calls a function once, when it ends.
+/// A body that calls a function once when it ends.
 pub struct Watched<F: FnOnce(Ending)> {
     body: Body,
     on_end: Option<F>,
 }
 
 impl<F: FnOnce(Ending) + Send + Sync + Unpin + 'static> Watched<F> {
-    /// Watches a body.
+    /// Wraps a body.
     pub fn watch(body: Body, on_end: F) -> Body {
         let mut watched = Watched { body, on_end: Some(on_end) };
         if watched.body.is_end_stream() {
--- a/crates/cherrystream-net/src/errors.rs
+++ b/crates/cherrystream-net/src/errors.rs
@@ -6,32 +6,32 @@
 /// A result whose error is [`Error`].
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// What can go wrong on the network or with the key.
+/// Errors of listeners, secrets and connections.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
     /// An address cannot be listened on.
     #[snafu(display("cannot listen on {address}: {source}; free the port or choose another"))]
     Listen {
-        /// The address.
+        /// Address to listen on.
         address: String,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A key or token file cannot be used.
     #[snafu(display("cannot use {path}: {what}; write a secret of 16 bytes or more to it"))]
     Secret {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong; never the secret.
+        /// Description of the problem. Never contains the secret.
         what: String,
     },
     /// A control replica cannot be reached.
     #[snafu(display("cannot reach control at {address}: {what}; check that it runs"))]
     Connect {
-        /// The address.
+        /// Address of the replica.
         address: String,
-        /// What the client says.
+        /// Error of the client.
         what: String,
     },
 }
--- a/crates/cherrystream-net/src/interface.rs
+++ b/crates/cherrystream-net/src/interface.rs
@@ -1,7 +1,7 @@
-//! How callers, backend servers and operators speak to the system.
+//! Interfaces to callers, backend servers and operators.
 //!
-//! The system decides on typed values; an interface only reads and writes them. The system's own
-//! interface is one implementation, that of a platform another.
+//! An interface translates between HTTP messages and typed values; decisions are made on the typed
+//! values only. The native interface is one implementation, that of a platform another.
 
 use crate::body::Body;
 use cherrystream_core::instances::InstanceReport;
@@ -11,62 +11,62 @@
 use http::{HeaderMap, HeaderName, Response, request, response};
 use std::time::Duration;
 
-/// What a caller says about its request.
+/// Information that a caller sends with its request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerHead {
-    /// The caller's identifier of the request; the system makes one where it is absent.
+    /// Identifier of the request; generated if the caller sends none.
     pub id: Option<String>,
-    /// Time for which the caller waits.
+    /// Remaining time until the deadline of the caller.
     pub time_left: Option<Duration>,
     /// API key of a workspace.
     pub key: Option<ApiKey>,
 }
 
-/// What a backend server is told about a request.
+/// Information that a backend server receives with a request.
 #[derive(Clone, Copy, Debug)]
 pub struct SendHead<'a> {
     /// Identifier of the request.
     pub id: &'a str,
-    /// Instance that it is meant for, where instances are known.
+    /// Instance that the request is meant for, if instances are registered.
     pub instance: Option<&'a str>,
-    /// Time that is left for it.
+    /// Remaining time until the deadline.
     pub time_left: Duration,
-    /// Workspace that it belongs to, where there are workspaces.
+    /// Workspace of the request, if workspaces are configured.
     pub workspace: Option<&'a str>,
 }
 
-/// What a backend server did with a request.
+/// Whether a backend server executed a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// It ran it.
+    /// The request was executed.
     Ran,
-    /// It did not run it and will not.
+    /// The request was not executed and will not be.
     NotRun,
-    /// It is another instance than the request was meant for, and did not run it.
+    /// The request was meant for another instance and was not executed.
     OtherInstance,
-    /// The answer belongs to another request.
+    /// The response belongs to another request.
     WrongRequest,
 }
 
-/// A backend server's word on its load.
+/// Load report of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests that it works on.
+    /// Requests in execution.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests in its queue.
     pub waiting: u32,
-    /// Requests that it works on at once.
+    /// Requests that it can execute concurrently.
     pub slots: u32,
-    /// Time that work takes at this moment, in hundredths of the usual time.
+    /// Current service time in percent of the typical one.
     pub slowness: u32,
 }
 
-/// What an instance reports.
+/// A report of an instance about its state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reported {
-    /// What becomes of it.
+    /// The reported state.
     pub report: InstanceReport,
-    /// How much longer it is cold, where it says so.
+    /// Remaining time for which the instance is cold, if reported.
     pub cold_for: Option<Duration>,
 }
 
@@ -76,54 +76,54 @@
     }
 }
 
-/// What an answer of the health endpoint tells.
+/// Content of a health response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HealthWord {
-    /// Instance that answers, where it says so.
+    /// Instance that sent the response, if reported.
     pub instance: Option<String>,
-    /// How much longer it is cold, where it says so.
+    /// Remaining time for which the instance is cold, if reported.
     pub cold_for: Option<Duration>,
 }
 
-/// A request that was not answered by a backend server.
+/// Content of the response to a request that was refused or has failed.
 #[derive(Clone, Copy, Debug)]
 pub struct RefusalHead<'a> {
-    /// Why.
+    /// Reason of the refusal or failure.
     pub reason: Reason,
-    /// When it is worth coming back.
+    /// Delay after which the caller may retry.
     pub retry_after: Duration,
-    /// The caller's identifier of the request.
+    /// Identifier that the caller gave the request.
     pub id: Option<&'a str>,
 }
 
-/// What is wrong with a message, and what to do about it.
+/// An error in a message, and its remedy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// What is wrong.
+    /// Description of the error.
     pub what: String,
-    /// What to do about it.
+    /// Instruction for correcting it.
     pub remedy: String,
 }
 
-/// In which way a report names no backend server to use.
+/// Kind of an invalid report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Misreport {
-    /// It is none that is known here.
+    /// The path or method is not that of a report.
     UnknownCall,
-    /// Its bytes cannot be read, or are too many.
+    /// The body cannot be decoded, or is too large.
     Unreadable,
-    /// A field that is needed is missing.
+    /// A required field is missing.
     FieldMissing,
-    /// A field that is needed has another type.
+    /// A required field has the wrong type.
     FieldMistyped,
-    /// It tells a state that is not known.
+    /// The reported state is unknown.
     UnknownState,
-    /// It names a service that the configuration does not.
+    /// The service is not configured.
     UnknownService,
 }
 
 impl Misreport {
-    /// Returns its name in log lines and metrics.
+    /// Returns the name used in log lines and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Misreport::UnknownCall => "unknown-call",
@@ -136,116 +136,116 @@
     }
 }
 
-/// A report that is not taken.
+/// A rejected report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BadReport {
-    /// In which way it is bad.
+    /// Why the report is rejected.
     pub kind: Misreport,
-    /// What whoever sent it is told.
+    /// Error for the response to its sender.
     pub fault: Fault,
 }
 
-/// Answer to an instance's report.
+/// Response to a report of an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReportAnswer {
-    /// It is taken.
+    /// The report is accepted.
     Taken,
-    /// It cannot be taken now; the instance should report again.
+    /// The report cannot be accepted at present; the instance should retry.
     NotNow,
-    /// It cannot be read.
+    /// The report is invalid.
     Bad(Fault),
 }
 
 /// The interface to callers and backend servers.
 pub trait CallInterface: Send + Sync + 'static {
-    /// Reads what a caller says about its request.
+    /// Reads the information that a caller sends with its request.
     ///
     /// # Errors
     ///
-    /// Fails with the reason when a value cannot be read.
+    /// Fails with the reason if a value is invalid.
     fn read_caller(&self, head: &request::Parts) -> Result<CallerHead, Reason>;
 
-    /// Names the service of the host where the request began.
+    /// Writes the service on whose host the request originated.
     fn write_caller_service(&self, headers: &mut HeaderMap, service: &str);
 
-    /// Removes what a caller says about its request: a backend server is told anew.
+    /// Removes the headers read by [`CallInterface::read_caller`] before a request is forwarded.
     fn remove_caller_head(&self, headers: &mut HeaderMap);
 
-    /// Removes a caller's key, and what it says of its workspace: a backend server gets no key, and the
-    /// workspace's name from the system only.
+    /// Removes the caller's API key and any workspace header before a request is forwarded: a
+    /// backend server must not receive the key, nor a workspace that the caller claims.
     fn remove_key(&self, headers: &mut HeaderMap);
 
-    /// Writes what a backend server is told.
+    /// Writes the headers for a backend server.
     fn write_send(&self, headers: &mut HeaderMap, send: &SendHead<'_>);
 
-    /// Returns the header that carries a request's identifier to a backend server and back.
+    /// Returns the header that carries the identifier of a request in the request and its response.
     fn id_header(&self) -> HeaderName;
 
-    /// Reads what a backend server did with the request with an identifier.
+    /// Reads from a response whether the request `id` was executed.
     fn read_execution(&self, head: &response::Parts, id: &str) -> Execution;
 
-    /// Reads a backend server's word on its load, if it gives one.
+    /// Reads the load report of a backend server, if the response contains one.
     fn read_load(&self, head: &response::Parts) -> Option<ServerLoad>;
 
-    /// Reads what an answer of the health endpoint tells.
+    /// Reads a health response.
     fn read_health(&self, head: &response::Parts) -> HealthWord;
 
-    /// Removes what a backend server says to the system only. [`CallInterface::mark_answered`] writes
-    /// what its caller gets of it.
+    /// Removes headers of a backend server that are not meant for the caller.
+    /// [`CallInterface::mark_answered`] writes those that the caller receives.
     fn remove_answer_head(&self, headers: &mut HeaderMap);
 
-    /// Writes the answer to a request that no backend server answered.
+    /// Returns the response to a request that was refused or has failed.
     fn write_refusal(&self, refusal: &RefusalHead<'_>) -> Response<Body>;
 
-    /// Marks an answer of a backend server to the request with an identifier.
+    /// Writes the headers of a response from a backend server to the request `id`.
     fn mark_answered(&self, headers: &mut HeaderMap, id: &str);
 
-    /// Returns whether a path asks for the readiness of the daemon.
+    /// Returns whether a path is that of the readiness check of the daemon.
     fn is_readiness(&self, path: &str) -> bool;
 
-    /// Reads an instance's report.
+    /// Reads a report of an instance.
     ///
     /// # Errors
     ///
-    /// Fails when it is none, or cannot be read.
+    /// Fails if the request is not a valid report.
     fn read_report(&self, head: &request::Parts, body: &[u8]) -> Result<Reported, BadReport>;
 
-    /// Writes the answer to an instance's report.
+    /// Returns the response to a report of an instance.
     fn write_report_answer(&self, answer: &ReportAnswer) -> Response<Body>;
 }
 
-/// An operator's order.
+/// A command of an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
-    /// To replace the route table.
+    /// Replaces the route table.
     ReplaceRoutes(Box<RouteOrder>),
-    /// To read the route table back.
+    /// Reads the route table.
     ReadRoutes,
-    /// To change the configuration by an intent, without a plan.
+    /// Changes the configuration by an intent, without a plan.
     Intend(Intent),
-    /// To start a roll-out.
+    /// Starts a roll-out.
     StartRollout(RolloutStart),
-    /// To read how the latest roll-out of a service stands.
+    /// Reads the stage of the latest roll-out of a service.
     ReadRollout(String),
 }
 
-/// A roll-out that is to start.
+/// Parameters of a roll-out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutStart {
-    /// Service whose requests move.
+    /// Service to update.
     pub service: String,
-    /// Version that they move to.
+    /// Version to roll out.
     pub version: String,
-    /// Time within which it is to be decided.
+    /// Time limit for completing the roll-out or rolling it back.
     pub within: Duration,
 }
 
-/// Answer to an order.
+/// Result of an operator command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// The route table with this number holds.
+    /// The route table with this number is current.
     Held(u64),
-    /// The intent holds.
+    /// The intent is committed.
     Intended,
     /// The route table as the operator wrote it.
     Table(String),
@@ -253,33 +253,33 @@
     NoTable,
     /// The latest roll-out of the service.
     Rollout {
-        /// Version that requests move to.
+        /// Version that is rolled out.
         version: String,
-        /// How far it is.
+        /// Current stage.
         stage: RolloutStage,
     },
     /// The service has had no roll-out.
     NoRollout,
-    /// Something else of the same sort is under way.
+    /// A conflicting operation is in progress.
     Busy(Fault),
-    /// The order cannot be carried out as it is.
+    /// The command is invalid.
     Invalid(Fault),
-    /// No quorum answered: the order may be carried out yet, and should be sent again.
+    /// No quorum responded. The command may still take effect, and should be retried.
     Unavailable,
 }
 
 /// The interface to operators.
 pub trait OrderInterface: Send + Sync + 'static {
-    /// Returns whether a request is an order of this interface.
+    /// Returns whether a request is an operator command of this interface.
     fn is_order(&self, head: &request::Parts) -> bool;
 
-    /// Reads an order.
+    /// Reads an operator command.
     ///
     /// # Errors
     ///
-    /// Fails when it cannot be read whole.
+    /// Fails if the command is malformed.
     fn read_order(&self, head: &request::Parts, body: &[u8]) -> Result<Order, Fault>;
 
-    /// Writes the answer to an order.
+    /// Returns the response with the result of a command.
     fn write_order_answer(&self, answer: &OrderAnswer) -> Response<Body>;
 }
--- a/crates/cherrystream-net/src/key.rs
+++ b/crates/cherrystream-net/src/key.rs
@@ -1,4 +1,4 @@
-//! Secrets: the key that the system's own processes share, and operators' tokens.
+//! Secrets: the key shared by daemons and control replicas, and the tokens of operators.
 
 use crate::errors::{self, Result};
 use std::fmt;
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use subtle::ConstantTimeEq;
 
-/// Shortest secret, in bytes.
-const BYTES_AT_LEAST: usize = 16;
+/// Minimum length of a secret in bytes.
+const MIN_SECRET_BYTES: usize = 16;
 /// Scheme of the `Authorization` header.
 const BEARER: &str = "Bearer ";
 
@@ -26,46 +26,46 @@
     ///
     /// # Errors
     ///
-    /// Fails when the file cannot be read or holds too short a secret.
+    /// Fails if the file cannot be read, or its secret is too short or unfit for a header.
     pub fn read(path: &str) -> Result<Secret> {
         let text = fs::read_to_string(path).map_err(|e| errors::secret(path, e))?;
         let text = text.trim();
-        if text.len() < BYTES_AT_LEAST {
+        if text.len() < MIN_SECRET_BYTES {
             return Err(errors::secret(path, "it is too short"));
         }
         if !text.bytes().all(|b| b.is_ascii_graphic()) {
-            return Err(errors::secret(path, "it holds bytes that cannot stand in a header"));
+            return Err(errors::secret(path, "it contains bytes that are not allowed in a header"));
         }
         Ok(Secret(text.into()))
     }
 
-    /// Returns whether `given` is the secret, in a time that does not depend on how much fits.
+    /// Compares `given` with the secret in constant time.
     pub fn matches(&self, given: &str) -> bool {
         self.0.as_bytes().ct_eq(given.as_bytes()).into()
     }
 
-    /// Returns the secret, to be sent to another process of the system.
+    /// Returns the secret in plain text.
     pub fn expose(&self) -> &str {
         &self.0
     }
 
-    /// Returns the value of an `Authorization` header with the secret.
+    /// Returns the value of an `Authorization` header that carries the secret.
     pub fn bearer(&self) -> String {
         format!("{BEARER}{}", self.0)
     }
 }
 
-/// Returns the secret in an `Authorization` header.
+/// Returns the bearer token of an `Authorization` header.
 pub fn bearer_of(headers: &http::HeaderMap) -> Option<&str> {
     headers.get(http::header::AUTHORIZATION)?.to_str().ok()?.strip_prefix(BEARER)
 }
 
-/// Returns whether a request may speak to the system's own processes.
+/// Returns whether the headers of a request carry the shared key. Always true without a key.
 pub fn admits(key: Option<&Secret>, headers: &http::HeaderMap) -> bool {
     is_given(key, bearer_of(headers))
 }
 
-/// Returns whether `given` is the key, or none is asked for.
+/// Returns whether `given` matches the key. Always true without a key.
 pub fn is_given(key: Option<&Secret>, given: Option<&str>) -> bool {
     key.is_none_or(|key| given.is_some_and(|given| key.matches(given)))
 }
--- a/crates/cherrystream-net/src/late_answers.rs
+++ b/crates/cherrystream-net/src/late_answers.rs
@@ -1,6 +1,8 @@
-//! Leaves out late answers on a kept connection: a backend server may answer a request a second time,
-//! when the connection waits for the answer to the next one. That next request is being worked on, so it
-//! must not be given up for an answer that belongs to no request any more.
+//! Discards late responses on a reused connection.
+//!
+//! A backend server may send a second response to an earlier request while the connection awaits
+//! the response to the next one. The next request is in execution and must not fail because of such
+//! a response.
 
 use bytes::{Buf, BytesMut};
 use http::{HeaderName, HeaderValue, Request, StatusCode, header};
@@ -12,83 +14,86 @@
 use std::task::{Context, Poll, ready};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Earlier requests of a connection whose answers are known for late ones.
-const EARLIER_KEPT: usize = 8;
-/// Longest head of an answer that is looked at: as much as hyper reads of one by default, roughly.
-const HEAD_BYTES: usize = 64 * 1024;
-/// Headers of an answer at most: what hyper reads by default.
-const HEADERS: usize = 100;
-/// Bytes read at once while an answer begins.
-const READ_BYTES: usize = 4 * 1024;
+/// Maximum number of earlier requests per connection whose late responses are recognized.
+const MAX_EARLIER_REQUESTS: usize = 8;
+/// Maximum size of a response head that is inspected; close to the limit of hyper.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// Maximum number of headers of a response; the default of hyper.
+const MAX_HEADERS: usize = 100;
+/// Size of the read buffer while a response head is inspected.
+const READ_BUFFER_BYTES: usize = 4 * 1024;
 
-/// The requests of one connection by what names them in their answers.
+/// Identifiers of the requests of one connection.
 pub(crate) struct Exchanges {
-    /// Header of a request and of its answer that names the request, if there is one.
+    /// Header that carries the identifier in a request and its response, if configured.
     id: Option<HeaderName>,
     current: Option<HeaderValue>,
     earlier: VecDeque<HeaderValue>,
-    /// Whether the answer has yet to begin, and a late one may come first.
-    awaits: bool,
+    /// Whether the current response has not begun and a late one may precede it.
+    may_be_late: bool,
 }
 
 impl Exchanges {
-    /// Creates a connection without requests.
+    /// Creates the state of a new connection.
     pub(crate) fn new(id: Option<HeaderName>) -> Arc<Mutex<Exchanges>> {
         let earlier = VecDeque::new();
-        Arc::new(Mutex::new(Exchanges { id, current: None, earlier, awaits: false }))
+        Arc::new(Mutex::new(Exchanges { id, current: None, earlier, may_be_late: false }))
     }
 
-    /// Notes that a request is about to be sent.
+    /// Records that a request is about to be sent.
     pub(crate) fn begin<B>(&mut self, req: &Request<B>) {
         let Some(id) = &self.id else { return };
         let next = req.headers().get(id).cloned();
         self.earlier.extend(self.current.take());
-        // One that is sent again may be answered by either of its answers.
+        // Both responses to a request that is sent again are valid.
         self.earlier.retain(|earlier| Some(earlier) != next.as_ref());
-        let excess = self.earlier.len().saturating_sub(EARLIER_KEPT);
+        let excess = self.earlier.len().saturating_sub(MAX_EARLIER_REQUESTS);
         self.earlier.drain(..excess);
         self.current = next;
-        self.awaits = !self.earlier.is_empty();
+        self.may_be_late = !self.earlier.is_empty();
     }
 
-    /// Returns what the bytes that have come are the beginning of.
-    fn look(&self, bytes: &[u8]) -> Beginning {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    /// Classifies the response that begins with `bytes`.
+    fn classify(&self, bytes: &[u8]) -> ResponseClass {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
         match head.parse(bytes) {
             Ok(httparse::Status::Complete(len)) => match self.is_late(&head) {
                 true => late(len, body_len(&head)),
-                false => Beginning::Awaited,
+                false => ResponseClass::Current,
             },
-            Ok(httparse::Status::Partial) if bytes.len() < HEAD_BYTES => Beginning::Unknown,
-            // Whoever reads it tells what is wrong with it.
-            _ => Beginning::Awaited,
+            Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => {
+                ResponseClass::Incomplete
+            }
+            // The HTTP client reports the malformed head.
+            _ => ResponseClass::Current,
         }
     }
 
     fn is_late(&self, head: &httparse::Response<'_, '_>) -> bool {
-        let named = self.id.as_ref().and_then(|id| value(head, id));
-        named.is_some_and(|named| self.earlier.iter().any(|earlier| earlier.as_bytes() == named))
+        let id = self.id.as_ref().and_then(|id| value(head, id));
+        id.is_some_and(|id| self.earlier.iter().any(|earlier| earlier.as_bytes() == id))
     }
 }
 
-/// What the first bytes of an answer tell.
+/// Classification of a response by its first bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Beginning {
-    /// Nothing yet.
-    Unknown,
-    /// It is not known to be late.
-    Awaited,
-    /// It is late, and as many bytes long.
+enum ResponseClass {
+    /// The head is incomplete.
+    Incomplete,
+    /// The response is not late as far as can be determined.
+    Current,
+    /// The response is late and has this length in bytes.
     Late(usize),
 }
 
-/// One whose length is not told is passed on: whoever reads it sees that it is another request's.
-fn late(head: usize, body: Option<usize>) -> Beginning {
-    body.map_or(Beginning::Awaited, |body| Beginning::Late(head.saturating_add(body)))
+/// Classifies a late response. One of unknown length is passed on, and its reader rejects it by its
+/// identifier.
+fn late(head: usize, body: Option<usize>) -> ResponseClass {
+    body.map_or(ResponseClass::Current, |body| ResponseClass::Late(head.saturating_add(body)))
 }
 
-/// Returns the length of an answer's body; `None` where its head does not tell.
+/// Returns the length of a response body, or `None` if the head does not state it.
 fn body_len(head: &httparse::Response<'_, '_>) -> Option<usize> {
     let code = StatusCode::from_u16(head.code?).ok()?;
     if matches!(code, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED) {
@@ -105,57 +110,57 @@
     found.map(|h| h.value)
 }
 
-/// A connection from which late answers are left out.
+/// A connection whose reader does not receive late responses.
 pub(crate) struct Filtered<S> {
     io: S,
     exchanges: Arc<Mutex<Exchanges>>,
-    /// Bytes that were read and not passed on yet.
-    held: BytesMut,
-    /// Bytes of a late answer that are still to be left out.
+    /// Bytes read and not passed on yet.
+    buffered: BytesMut,
+    /// Remaining bytes of a late response to discard.
     late: usize,
 }
 
 impl<S> Filtered<S> {
-    /// Filters what is read from a connection.
+    /// Wraps a connection.
     pub(crate) fn new(io: S, exchanges: Arc<Mutex<Exchanges>>) -> Filtered<S> {
-        Filtered { io, exchanges, held: BytesMut::new(), late: 0 }
+        Filtered { io, exchanges, buffered: BytesMut::new(), late: 0 }
     }
 
-    /// Leaves out what is known to be late; returns whether the rest may be passed on.
-    fn sift(&mut self) -> bool {
+    /// Discards buffered bytes of late responses. Returns whether the rest may be passed on.
+    fn discard_late(&mut self) -> bool {
         loop {
-            let left_out = self.late.min(self.held.len());
-            self.held.advance(left_out);
-            self.late -= left_out;
+            let discarded = self.late.min(self.buffered.len());
+            self.buffered.advance(discarded);
+            self.late -= discarded;
             if self.late > 0 {
                 return false;
             }
             let mut exchanges = self.exchanges.lock();
-            if !exchanges.awaits {
+            if !exchanges.may_be_late {
                 return true;
             }
-            match exchanges.look(&self.held) {
-                Beginning::Unknown => return false,
-                Beginning::Awaited => exchanges.awaits = false,
-                Beginning::Late(len) => self.late = len,
+            match exchanges.classify(&self.buffered) {
+                ResponseClass::Incomplete => return false,
+                ResponseClass::Current => exchanges.may_be_late = false,
+                ResponseClass::Late(len) => self.late = len,
             }
         }
     }
 
-    /// Passes on bytes that are held.
-    fn pass_on(&mut self, buf: &mut ReadBuf<'_>) {
-        let n = self.held.len().min(buf.remaining());
-        buf.put_slice(&self.held.split_to(n));
+    /// Copies buffered bytes to the buffer of the reader.
+    fn copy_buffered(&mut self, buf: &mut ReadBuf<'_>) {
+        let n = self.buffered.len().min(buf.remaining());
+        buf.put_slice(&self.buffered.split_to(n));
     }
 }
 
 impl<S: AsyncRead + Unpin> Filtered<S> {
-    /// Reads bytes to be looked at; returns whether any came.
-    fn poll_more(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
-        let mut bytes = [0; READ_BYTES];
+    /// Reads more bytes into the buffer. Returns `false` at the end of the stream.
+    fn poll_fill(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
+        let mut bytes = [0; READ_BUFFER_BYTES];
         let mut buf = ReadBuf::new(&mut bytes);
         ready!(Pin::new(&mut self.io).poll_read(cx, &mut buf))?;
-        self.held.extend_from_slice(buf.filled());
+        self.buffered.extend_from_slice(buf.filled());
         Poll::Ready(Ok(!buf.filled().is_empty()))
     }
 }
@@ -167,17 +172,17 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let this = &mut *self;
-        while !this.sift() {
-            if !ready!(this.poll_more(cx))? {
-                // The connection ended: whoever reads it tells what is missing.
-                this.pass_on(buf);
+        while !this.discard_late() {
+            if !ready!(this.poll_fill(cx))? {
+                // The connection has ended: the reader reports the incomplete response.
+                this.copy_buffered(buf);
                 return Poll::Ready(Ok(()));
             }
         }
-        if this.held.is_empty() {
+        if this.buffered.is_empty() {
             return Pin::new(&mut this.io).poll_read(cx, buf);
         }
-        this.pass_on(buf);
+        this.copy_buffered(buf);
         Poll::Ready(Ok(()))
     }
 }
--- a/crates/cherrystream-net/src/lib.rs
+++ b/crates/cherrystream-net/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the daemon and control share on the network: listeners, bodies, the clock, the key of
-//! the system's own processes, and the RPC interface of control.
+//! Networking shared by the daemon and control: listeners, connection pools, bodies, the clock, the
+//! shared key, and the RPC interface of control.
 
 #![forbid(unsafe_code)]
 
--- a/crates/cherrystream-net/src/observe.rs
+++ b/crates/cherrystream-net/src/observe.rs
@@ -1,4 +1,4 @@
-//! `/metrics`, `/healthz` and `/readyz`.
+//! Serves `/metrics`, `/healthz` and `/readyz`.
 
 use crate::body::{self, Body};
 use crate::serve::{Phase, Phases};
@@ -11,19 +11,19 @@
 /// Media type of the metrics page.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// What the observation port shows.
+/// State that is served on the metrics address.
 #[derive(Clone)]
 pub struct Observed {
     /// Metrics of the process.
     pub registry: Arc<Registry>,
     /// Phase of the process.
     pub phases: Phases,
-    /// Whether the process has what it needs to serve.
+    /// Whether the process has a configuration to serve.
     pub ready: Arc<AtomicBool>,
 }
 
 impl Observed {
-    /// Answers a request for one of the three paths.
+    /// Returns the response for a path.
     pub fn answer(&self, path: &str) -> Response<Body> {
         match path {
             "/metrics" => self.metrics(),
@@ -56,7 +56,7 @@
     }
 }
 
-/// Returns a short answer in plain text.
+/// Returns a response in plain text.
 pub fn plain(status: StatusCode, text: &'static str) -> Response<Body> {
     let mut res = Response::new(body::full(text));
     *res.status_mut() = status;
--- a/crates/cherrystream-net/src/pool.rs
+++ b/crates/cherrystream-net/src/pool.rs
@@ -1,5 +1,5 @@
-//! Kept HTTP/1.1 connections to one address: a connection goes back to the pool only after a
-//! whole exchange.
+//! Pool of HTTP/1.1 connections to one address. A connection returns to the pool only after a
+//! complete exchange.
 
 use crate::body::{self, Body, Ending, Watched};
 use crate::clock::Clock;
@@ -16,38 +16,38 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Kept connections at most.
-const IDLE_AT_MOST: usize = 64;
-/// A connection unused for longer is closed: the other side may be about to close it.
-const IDLE_TIME: Duration = Duration::from_secs(4);
-/// Tries to put a request on a connection that turns out to be closed.
-const SEND_TRIES: u32 = 3;
+/// Maximum number of idle connections.
+const MAX_IDLE: usize = 64;
+/// Idle time after which a connection is closed, since the peer may be about to close it.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Attempts to send a request when connections turn out to be closed.
+const MAX_SEND_ATTEMPTS: u32 = 3;
 
-/// Why there is no answer.
+/// Reason why a request has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoAnswer {
-    /// No byte of the request left this process.
+    /// No byte of the request was sent.
     NotSent,
-    /// The request, or part of it, left this process.
+    /// The request was sent at least in part.
     Broke,
 }
 
-/// What becomes of a connection on which nothing is sent.
+/// Result of opening a connection without sending anything.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Probe {
-    /// Nobody listens there.
+    /// The connection was refused: no process listens on the address.
     Refused,
-    /// It was closed at once.
+    /// The connection was closed immediately.
     Closed,
-    /// It was kept, or nothing is known of it.
+    /// The connection stayed open, or the result is inconclusive.
     Kept,
 }
 
-/// Longest wait for a connection that is only asked for: one that is not refused at once shows nothing.
-const PROBE_CONNECTS_WITHIN: Duration = Duration::from_millis(250);
-/// Time for which a connection is watched that is only asked for: whoever passes connections on for a server that is down closes them
-/// within milliseconds.
-const PROBE_KEPT_FOR: Duration = Duration::from_millis(20);
+/// Connect timeout of a probe. A connection that is not refused promptly is inconclusive.
+const PROBE_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time for which a probe waits for the connection to be closed. A proxy of a server that is down
+/// closes it within milliseconds.
+const PROBE_CLOSE_TIMEOUT: Duration = Duration::from_millis(20);
 
 struct Idle {
     sender: SendRequest<Body>,
@@ -58,7 +58,7 @@
 /// Connections to one address.
 pub struct Pool {
     address: String,
-    /// Header by which an answer names its request.
+    /// Header that carries the identifier of a request in its response.
     id: Option<HeaderName>,
     idle: Arc<Mutex<Vec<Idle>>>,
     connects: Counter,
@@ -66,35 +66,35 @@
 }
 
 impl Pool {
-    /// Creates an empty pool; `connects` counts the connections that it makes.
+    /// Creates an empty pool. `connects` counts the connections that it opens.
     pub fn new(address: &str, connects: Counter) -> Pool {
         let (idle, clock) = (Arc::default(), Clock::default());
         Pool { address: address.into(), id: None, idle, connects, clock }
     }
 
-    /// Names the header of requests and answers by which an answer names its request: late answers to
-    /// earlier requests of a connection are left out then.
+    /// Sets the header that carries the identifier of a request in its response. Enables discarding
+    /// late responses to earlier requests of a connection.
     pub fn with_id(self, id: HeaderName) -> Pool {
         Pool { id: Some(id), ..self }
     }
 
-    /// Takes the ages of kept connections from a clock.
+    /// Sets the clock by which the idle time of connections is measured.
     pub fn with_clock(self, clock: Clock) -> Pool {
         Pool { clock, ..self }
     }
 
-    /// Returns the address.
+    /// Returns the address that the connections lead to.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Returns a connection that can take a request.
+    /// Returns an idle connection, or opens one.
     ///
     /// # Errors
     ///
-    /// Fails when the address takes no connection.
+    /// Fails if no connection can be opened.
     pub async fn connection(&self) -> Result<Connection, NoAnswer> {
-        if let Some(Idle { sender, exchanges, .. }) = self.kept() {
+        if let Some(Idle { sender, exchanges, .. }) = self.take_idle() {
             return Ok(Connection {
                 sender,
                 exchanges,
@@ -105,16 +105,16 @@
         self.connect().await
     }
 
-    /// Asks for a connection and sends nothing on it; returns what becomes of it.
+    /// Opens a connection without sending anything, and returns what happens to it.
     pub async fn probe(&self) -> Probe {
         let connecting = TcpStream::connect(&self.address);
-        let mut stream = match tokio::time::timeout(PROBE_CONNECTS_WITHIN, connecting).await {
+        let mut stream = match tokio::time::timeout(PROBE_CONNECT_TIMEOUT, connecting).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => return Probe::Refused,
-            // A host that says nothing shows nothing.
+            // A timeout or another error does not show that the server is down.
             Ok(Err(_)) | Err(_) => return Probe::Kept,
         };
-        match tokio::time::timeout(PROBE_KEPT_FOR, stream.read_u8()).await {
+        match tokio::time::timeout(PROBE_CLOSE_TIMEOUT, stream.read_u8()).await {
             Ok(Err(_)) => Probe::Closed,
             Ok(Ok(_)) | Err(_) => Probe::Kept,
         }
@@ -135,18 +135,18 @@
     ///
     /// # Errors
     ///
-    /// Fails when no answer comes, and tells whether any byte of the request was sent.
+    /// Fails if there is no response. The error states whether any byte of the request was sent.
     pub async fn send(
         &self,
         mut connection: Connection,
         mut req: Request<Body>,
     ) -> Result<Response<Body>, NoAnswer> {
-        for _ in 0..SEND_TRIES {
+        for _ in 0..MAX_SEND_ATTEMPTS {
             connection.exchanges.lock().begin(&req);
             match connection.sender.try_send_request(req).await {
                 Ok(res) => return Ok(connection.watch(res)),
                 Err(mut e) => match e.take_message() {
-                    // The connection was closed before the request was put on it.
+                    // The connection was closed before the request was sent.
                     Some(unsent) => req = unsent,
                     None => return Err(NoAnswer::Broke),
                 },
@@ -156,16 +156,17 @@
         Err(NoAnswer::NotSent)
     }
 
-    fn kept(&self) -> Option<Idle> {
+    /// Takes a usable connection out of the pool, after closing expired ones.
+    fn take_idle(&self) -> Option<Idle> {
         let now = self.clock.now();
         let mut idle = self.idle.lock();
-        idle.retain(|i| !i.sender.is_closed() && now.since(i.since) < IDLE_TIME);
+        idle.retain(|i| !i.sender.is_closed() && now.since(i.since) < IDLE_TIMEOUT);
         let ready = idle.iter().rposition(|i| i.sender.is_ready())?;
         Some(idle.remove(ready))
     }
 }
 
-/// A connection on which one exchange is made.
+/// A connection for one exchange.
 pub struct Connection {
     sender: SendRequest<Body>,
     exchanges: Arc<Mutex<Exchanges>>,
@@ -174,13 +175,13 @@
 }
 
 impl Connection {
-    /// Keeps the connection once the answer was read to its end.
+    /// Returns the connection to the pool once the response body is read to its end.
     fn watch(self, res: Response<hyper::body::Incoming>) -> Response<Body> {
         let (parts, incoming) = res.into_parts();
         let Connection { sender, exchanges, idle, clock } = self;
         let body = Watched::watch(body::incoming(incoming), move |ending| {
             let mut idle = idle.lock();
-            if ending == Ending::Whole && idle.len() < IDLE_AT_MOST {
+            if ending == Ending::Whole && idle.len() < MAX_IDLE {
                 idle.push(Idle { sender, exchanges, since: clock.now() });
             }
         });
--- a/crates/cherrystream-net/src/rpc.rs
+++ b/crates/cherrystream-net/src/rpc.rs
@@ -22,26 +22,26 @@
 use std::time::Duration;
 use tower::{Layer, Service};
 
-/// Largest message in bytes: a snapshot of the whole control state.
+/// Maximum size of a message in bytes. Admits a snapshot of the whole control state.
 pub const MESSAGE_BYTES: u32 = 512 << 20;
-/// Calls that one client may have open at once.
-const CALLS_AT_ONCE: usize = 4_096;
-/// Code of the error that names the leader.
+/// Maximum number of concurrent calls per client.
+const MAX_CONCURRENT_CALLS: usize = 4_096;
+/// Error code of a call to a replica that is not the leader.
 const NOT_LEADER: i32 = -32_001;
-/// Code of the error for a control group without a quorum.
+/// Error code of a call to a control group without a quorum.
 const UNAVAILABLE: i32 = -32_002;
-/// Longest time for a connection to be made.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Calls to a control replica.
+/// RPC methods of a control replica.
 #[rpc(client, server, namespace = "cherrystream", namespace_separator = ".")]
 pub trait ControlRpc {
-    /// Takes messages of the replicated log.
+    /// Delivers messages of the replicated log.
     #[method(name = "raft")]
     async fn raft(&self, messages: Vec<RaftMessage>) -> RpcResult<()>;
 
-    /// Takes a daemon's heartbeat and returns what the daemon lacks, once there is something or
-    /// the wait is over.
+    /// Handles the heartbeat of a daemon. Returns an update as soon as there is one, or when the
+    /// wait ends.
     #[method(name = "sync")]
     async fn sync(&self, req: SyncRequest) -> RpcResult<SyncReply>;
 
@@ -49,31 +49,31 @@
     #[method(name = "claim")]
     async fn claim(&self, req: ClaimRequest) -> RpcResult<ClaimReply>;
 
-    /// Frees a key whose attempt was proved not run.
+    /// Releases a key whose attempt was proven not to have been executed.
     #[method(name = "release")]
     async fn release(&self, req: ReleaseRequest) -> RpcResult<()>;
 
-    /// Takes an operator's call that another replica has checked.
+    /// Handles an operator call that another replica has authenticated.
     #[method(name = "operator")]
     async fn operator(&self, call: OperatorCall) -> RpcResult<OperatorAnswer>;
 
-    /// Returns an index that covers every change accepted before the call.
+    /// Returns a log index that covers every change accepted before the call.
     #[method(name = "read_index")]
     async fn read_index(&self) -> RpcResult<u64>;
 
-    /// Returns the daemons that this replica hears.
+    /// Returns the daemons that send heartbeats to this replica.
     #[method(name = "reach")]
     async fn reach(&self) -> RpcResult<Vec<DaemonStatus>>;
 
-    /// Lets a replica in that asks for a place in the group.
+    /// Handles the request of a replica for a member slot of the group.
     #[method(name = "join")]
     async fn join(&self, req: JoinRequest) -> RpcResult<JoinReply>;
 
-    /// Replaces the route table by a packed order.
+    /// Replaces the route table by a packed one.
     #[method(name = "replace_routes")]
     async fn replace_routes(&self, number: u64, packed: String) -> RpcResult<RouteOrderReply>;
 
-    /// Changes the route table by a packed patch, if the table that it builds on holds.
+    /// Applies a packed patch to the route table, if the current table is its base.
     #[method(name = "patch_routes")]
     async fn patch_routes(
         &self,
@@ -82,35 +82,35 @@
         packed: String,
     ) -> RpcResult<RouteOrderReply>;
 
-    /// Records changes of the shared state that no operator made.
+    /// Commits changes of the shared state that do not originate from an operator.
     #[method(name = "share")]
     async fn share(&self, changes: Vec<Change>) -> RpcResult<()>;
 
-    /// Takes what daemons have counted while a roll-out is under way.
+    /// Delivers request counts of daemons during a roll-out.
     #[method(name = "tally")]
     async fn tally(&self, words: Vec<HostTally>) -> RpcResult<()>;
 
-    /// Takes a piece of a long message of the replicated log.
+    /// Delivers a piece of a long message of the replicated log.
     #[method(name = "piece")]
     async fn piece(&self, piece: Piece) -> RpcResult<PieceReply>;
 
-    /// Returns a part of an update that was offered to a daemon.
+    /// Returns a chunk of an update that was offered to a daemon.
     #[method(name = "chunk")]
     async fn chunk(&self, req: ChunkRequest) -> RpcResult<ChunkReply>;
 }
 
-/// Returns the error that names the leader's RPC address.
+/// Returns the error of a replica that is not the leader, with the leader's RPC address if known.
 pub fn not_leader(leader: Option<&str>) -> ErrorObjectOwned {
-    let text = "this replica does not lead; ask the leader";
+    let text = "this replica is not the leader; call the leader";
     ErrorObjectOwned::owned(NOT_LEADER, text, leader)
 }
 
-/// Returns the error for a control group without a quorum.
+/// Returns the error of a control group without a quorum.
 pub fn unavailable(what: &str) -> ErrorObjectOwned {
     ErrorObjectOwned::owned(UNAVAILABLE, what, None::<()>)
 }
 
-/// Returns the leader's RPC address from an error, if it names one.
+/// Returns the leader's RPC address from an error, if it contains one.
 pub fn leader_in(e: &ClientError) -> Option<String> {
     let ClientError::Call(object) = e else { return None };
     if object.code() != NOT_LEADER {
@@ -119,7 +119,7 @@
     serde_json::from_str(object.data()?.get()).ok()
 }
 
-/// Returns whether the replica answered, if only with an error.
+/// Returns whether an error is a response of the replica, not a failure of the connection.
 pub fn is_answer(e: &ClientError) -> bool {
     matches!(e, ClientError::Call(_))
 }
@@ -128,28 +128,28 @@
 ///
 /// # Errors
 ///
-/// Fails when the replica cannot be reached or refuses the key.
+/// Fails if the replica is unreachable or rejects the key.
 pub async fn connect(address: &str, key: Option<&Secret>, timeout: Duration) -> Result<WsClient> {
     let mut headers = HeaderMap::new();
     if let Some(value) = key.and_then(|k| HeaderValue::from_str(&k.bearer()).ok()) {
         headers.insert(header::AUTHORIZATION, value);
     }
-    let building = WsClientBuilder::new()
+    let connecting = WsClientBuilder::new()
         .max_request_size(MESSAGE_BYTES)
         .max_response_size(MESSAGE_BYTES)
-        .max_concurrent_requests(CALLS_AT_ONCE)
+        .max_concurrent_requests(MAX_CONCURRENT_CALLS)
         .request_timeout(timeout)
         .connection_timeout(CONNECT_TIMEOUT)
         .set_headers(headers)
         .build(format!("ws://{address}"));
-    match tokio::time::timeout(CONNECT_TIMEOUT, building).await {
+    match tokio::time::timeout(CONNECT_TIMEOUT, connecting).await {
         Ok(Ok(client)) => Ok(client),
         Ok(Err(e)) => Err(errors::connect(address, e)),
-        Err(_) => Err(errors::connect(address, "no answer in time")),
+        Err(_) => Err(errors::connect(address, "the connection timed out")),
     }
 }
 
-/// Refuses requests without the shared key.
+/// Middleware that rejects requests without the shared key.
 #[derive(Clone)]
 pub struct KeyLayer {
     key: Option<Secret>,
@@ -157,7 +157,7 @@
 }
 
 impl KeyLayer {
-    /// Creates the layer; without a key every request passes.
+    /// Creates the layer. Without a key, every request passes.
     pub fn new(key: Option<Secret>, on_refusal: impl Fn() + Send + Sync + 'static) -> KeyLayer {
         KeyLayer { key, on_refusal: std::sync::Arc::new(on_refusal) }
     }
@@ -171,7 +171,7 @@
     }
 }
 
-/// The service that [`KeyLayer`] makes.
+/// The service created by [`KeyLayer`].
 #[derive(Clone)]
 pub struct KeyService<S> {
     layer: KeyLayer,
--- a/crates/cherrystream-net/src/seeds.rs
+++ b/crates/cherrystream-net/src/seeds.rs
@@ -1,9 +1,9 @@
-//! Seeds: hosts of control replicas to begin with.
+//! Seeds: addresses of control replicas for the first contact.
 
 use cherrystream_schema::settings::SeedSettings;
 use std::net::SocketAddr;
 
-/// Returns the RPC addresses of the control replicas on the seeds.
+/// Returns the RPC addresses of the control replicas on the seed hosts.
 pub fn rpc_addresses(seeds: &SeedSettings) -> Vec<String> {
     let address = |text: &String| {
         let host: SocketAddr = text.parse().ok()?;
--- a/crates/cherrystream-net/src/serve.rs
+++ b/crates/cherrystream-net/src/serve.rs
@@ -1,4 +1,4 @@
-//! Listeners: HTTP/1.1 and HTTP/2 on one port, with a planned stop that cuts nothing.
+//! Listeners for HTTP/1.1 and HTTP/2 on one port, with graceful shutdown.
 
 use crate::body::Body;
 use crate::errors::{Error, Result};
@@ -13,35 +13,36 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// Largest request head in bytes.
-const HEAD_BYTES: u32 = 64 * 1024;
-/// Smallest buffer that the HTTP/1 reader accepts is below this.
-const H1_BUFFER: usize = 64 * 1024;
-/// Time for a whole HTTP/1 request head to arrive.
+/// Maximum size of a request head in bytes.
+const MAX_HEAD_BYTES: u32 = 64 * 1024;
+/// Size of the HTTP/1 read buffer in bytes; limits the request head.
+const H1_BUFFER_BYTES: usize = 64 * 1024;
+/// Timeout for receiving an HTTP/1 request head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// Bytes that may be on their way in one HTTP/2 stream.
+/// Flow control window of an HTTP/2 stream in bytes.
 pub const STREAM_WINDOW: u32 = 256 * 1024;
-/// Bytes that may be on their way in one HTTP/2 connection.
+/// Flow control window of an HTTP/2 connection in bytes.
 pub const CONNECTION_WINDOW: u32 = 4 * 1024 * 1024;
-/// Requests that one HTTP/2 connection carries at once.
-const STREAMS: u32 = 10_000;
+/// Maximum number of concurrent streams per HTTP/2 connection.
+const MAX_STREAMS: u32 = 10_000;
 
-/// Phases of a process's life, in their order.
+/// Phases of the life cycle of a process, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It serves.
+    /// The process serves requests.
     Serving,
-    /// It says that it is not ready, but still takes work: callers go elsewhere meanwhile.
+    /// The process reports that it is not ready, and still accepts requests while callers move
+    /// away.
     Leaving,
-    /// Its backend servers take no new work; callers on kept connections are still answered.
+    /// Local backend servers accept no new requests; open connections are still served.
     Draining,
-    /// It closes connections as their last answer is out.
+    /// Connections are closed after their last response.
     Closing,
-    /// Its time is nearly over: what has no answer by now is told so.
+    /// The time for shutting down is nearly over: pending requests are answered with an error.
     Ending,
 }
 
-/// Tells the phase to whoever needs it.
+/// Publishes the phase of the process.
 #[derive(Clone, Debug)]
 pub struct Phases {
     tx: Arc<watch::Sender<Phase>>,
@@ -54,7 +55,7 @@
 }
 
 impl Phases {
-    /// Enters a phase; an earlier one is never entered again.
+    /// Enters a phase. Has no effect if a later one was entered before.
     pub fn enter(&self, phase: Phase) {
         self.tx.send_if_modified(|now| {
             let later = phase > *now;
@@ -65,14 +66,14 @@
         });
     }
 
-    /// Returns the phase.
+    /// Returns the current phase.
     pub fn now(&self) -> Phase {
         *self.tx.borrow()
     }
 
-    /// Waits until a phase is entered or passed.
+    /// Waits until `phase` or a later one is entered.
     pub async fn reached(&self, phase: Phase) {
-        // The sender lives as long as this value, so the wait cannot fail.
+        // The wait cannot fail, since this value owns the sender.
         let _ = self.tx.subscribe().wait_for(|now| *now >= phase).await;
     }
 }
@@ -81,14 +82,14 @@
 ///
 /// # Errors
 ///
-/// Fails when the address is taken or not of this host.
+/// Fails if the address is in use or does not belong to this host.
 pub async fn listen(address: &str) -> Result<TcpListener> {
     TcpListener::bind(address)
         .await
         .map_err(|source| Error::Listen { address: address.into(), source })
 }
 
-/// Serves a listener until the closing phase has let every connection end.
+/// Serves a listener until all connections have ended in the closing phase.
 pub async fn serve<H, F>(listener: TcpListener, phases: Phases, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -97,10 +98,10 @@
     accept(listener, phases, builder(), handler).await;
 }
 
-/// Serves a listener for the system's own processes, as [`serve`] does for everybody.
+/// Serves a listener for other daemons, like [`serve`].
 ///
-/// One connection carries the requests of many callers. It must not end because many of them left at
-/// once: a slow link may hold their requests up, which then arrive together with their cancellation.
+/// One connection carries the requests of many callers and must not be closed because many of them
+/// cancel at once: requests that a slow link delays arrive together with their cancellation.
 pub async fn serve_peers<H, F>(listener: TcpListener, phases: Phases, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -109,7 +110,7 @@
     let mut builder = builder();
     builder
         .http2()
-        .max_pending_accept_reset_streams(STREAMS as usize)
+        .max_pending_accept_reset_streams(MAX_STREAMS as usize)
         .max_local_error_reset_streams(None);
     accept(listener, phases, builder, handler).await;
 }
@@ -145,7 +146,7 @@
     }
     drop(listener);
     drop(open_tx);
-    // The channel closes when the last connection has ended.
+    // Returns when the last connection has ended and dropped its sender.
     let _ = open_rx.recv().await;
 }
 
@@ -174,14 +175,14 @@
         .http1()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
-        .max_buf_size(H1_BUFFER);
+        .max_buf_size(H1_BUFFER_BYTES);
     builder
         .http2()
         .timer(TokioTimer::new())
         .initial_stream_window_size(STREAM_WINDOW)
         .initial_connection_window_size(CONNECTION_WINDOW)
-        .max_concurrent_streams(STREAMS)
-        .max_header_list_size(HEAD_BYTES);
+        .max_concurrent_streams(MAX_STREAMS)
+        .max_header_list_size(MAX_HEAD_BYTES);
     builder
 }
 
--- a/crates/cherrystream-net/src/stall.rs
+++ b/crates/cherrystream-net/src/stall.rs
@@ -1,4 +1,4 @@
-//! Breaks off a transfer whose reader takes nothing, so that it frees what it holds.
+//! Aborts a body whose reader has stalled, to free its resources.
 
 use crate::body::{Body, BoxError};
 use bytes::Bytes;
@@ -10,45 +10,45 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// Looks at the clock for each limit.
-const LOOKS: u32 = 4;
+/// Checks for a stall within the time limit.
+const CHECKS_PER_LIMIT: u32 = 4;
 
 struct Inner {
-    /// Taken away at the end, or when the reader has stalled.
+    /// `None` once the reader has stalled.
     body: Option<Body>,
-    taken: Instant,
+    last_read: Instant,
 }
 
-/// A body that ends with an error once its reader has taken nothing for too long.
+/// A body that fails once its reader has read nothing for too long.
 struct Limited {
     inner: Arc<Mutex<Inner>>,
 }
 
-/// Limits the time for which a reader may take nothing.
+/// Limits the time between two reads of a body.
 ///
-/// A reader that stalls does not ask for more, so a task of its own looks after it. That is worth
-/// its cost for long bodies only.
+/// A stalled reader does not poll the body, so a separate task checks for it. Use this for long
+/// bodies only, since short ones do not justify a task.
 pub fn limit(body: Body, limit: Duration) -> Body {
-    let inner = Arc::new(Mutex::new(Inner { body: Some(body), taken: Instant::now() }));
+    let inner = Arc::new(Mutex::new(Inner { body: Some(body), last_read: Instant::now() }));
     tokio::spawn(watch(Arc::downgrade(&inner), limit));
     Limited { inner }.boxed()
 }
 
 async fn watch(inner: std::sync::Weak<Mutex<Inner>>, limit: Duration) {
     loop {
-        tokio::time::sleep(limit / LOOKS).await;
+        tokio::time::sleep(limit / CHECKS_PER_LIMIT).await;
         let Some(inner) = inner.upgrade() else { return };
         let stalled = {
             let mut inner = inner.lock();
             if inner.body.is_none() {
                 return;
             }
-            if inner.taken.elapsed() < limit {
+            if inner.last_read.elapsed() < limit {
                 continue;
             }
             inner.body.take()
         };
-        // What the body holds is freed outside the lock.
+        // Drops the body outside the lock.
         drop(stalled);
         return;
     }
@@ -67,8 +67,8 @@
             return Poll::Ready(Some(Err("the reader has stalled".into())));
         };
         let polled = Pin::new(body).poll_frame(cx);
-        // Waiting for the sender is not the reader's fault.
-        inner.taken = Instant::now();
+        // A pending sender does not count as a stall of the reader.
+        inner.last_read = Instant::now();
         polled
     }
 
