--- a/crates/cherrystream-daemon/src/headers.rs
+++ b/crates/cherrystream-daemon/src/headers.rs
@@ -1,4 +1,4 @@
-//! Names of the headers, and how their values are read and written.
+//! Header names, and helpers that read and write header values.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -7,53 +7,53 @@
 use serde::de::DeserializeOwned;
 use std::str::FromStr;
 
-/// Service that a caller asks for.
+/// Name of the requested service.
 pub const SERVICE: HeaderName = HeaderName::from_static("cherrystream-service");
-/// Milliseconds that the call may take.
+/// Remaining deadline of the call, in milliseconds.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("cherrystream-deadline-ms");
-/// Key of a request that may not be repeated.
+/// Idempotency key of a non-repeatable request.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// What is known of the request.
+/// Outcome of the request.
 pub const OUTCOME: HeaderName = HeaderName::from_static("cherrystream-outcome");
-/// Why the request was not answered by a backend server.
+/// Reason for which no backend server answered the request.
 pub const REASON: HeaderName = HeaderName::from_static("cherrystream-reason");
-/// Milliseconds after which to come back.
+/// Milliseconds after which to retry.
 pub const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("cherrystream-retry-after-ms");
-/// Set on an answer that was given before.
+/// Marks a response that repeats the response to an earlier attempt.
 pub const REPLAYED: HeaderName = HeaderName::from_static("cherrystream-replayed");
 /// Identifier of the call.
 pub const CALL: HeaderName = HeaderName::from_static("cherrystream-call");
-/// Retries that the call may still cause.
+/// Number of retries that the call may still cause.
 pub const ALLOWANCE: HeaderName = HeaderName::from_static("cherrystream-retry-allowance");
-/// Newest revision that the sender holds.
+/// Newest revision held by the sender.
 pub const REVISION: HeaderName = HeaderName::from_static("cherrystream-revision");
-/// Key of the system's own processes.
+/// Shared key that authenticates the system's own processes.
 pub const KEY: HeaderName = HeaderName::from_static("cherrystream-key");
-/// What a daemon asks of another; see [`Op`].
+/// Operation requested of another daemon; see [`Op`].
 pub const OP: HeaderName = HeaderName::from_static("cherrystream-op");
-/// Backend server that a daemon chose.
+/// Chosen backend server.
 pub const SERVER: HeaderName = HeaderName::from_static("cherrystream-server");
-/// What differs from call to call on the hop between two daemons, in compact form; see
-/// [`crate::hop`].
+/// Per-call values exchanged between two daemons, in compact form; see [`crate::hop`].
 pub const HOP: HeaderName = HeaderName::from_static("cherrystream-hop");
-/// Route that took the request, or its kind.
+/// Name of the matched route, or the kind of the request.
 pub const KIND: HeaderName = HeaderName::from_static("cherrystream-kind");
-/// Service on whose host the request began.
+/// Service on whose host the request originates.
 pub const CALLER: HeaderName = HeaderName::from_static("cherrystream-caller");
-/// Workspace that a request belongs to.
+/// Workspace of the request.
 pub const WORKSPACE: HeaderName = HeaderName::from_static("cherrystream-workspace");
-/// Milliseconds for which a backend server is still cold, on its reports and health answers.
+/// Milliseconds for which a backend server remains cold, sent with its load reports and health
+/// responses.
 pub const COLD_MS: HeaderName = HeaderName::from_static("cherrystream-cold-ms");
-/// Claim of an unrepeatable request, as JSON.
+/// Claim of a non-repeatable request, as JSON.
 pub const CLAIM: HeaderName = HeaderName::from_static("cherrystream-claim");
-/// Part of an encoded update that is asked for, as JSON.
+/// Requested chunk of an encoded update, as JSON.
 pub const CHUNK: HeaderName = HeaderName::from_static("cherrystream-chunk");
-/// What became of an attempt, as JSON.
+/// State of an attempt, as JSON.
 pub const FATE: HeaderName = HeaderName::from_static("cherrystream-fate");
 
-/// Beginning of the names that belong to the system.
+/// Prefix of the system's own headers.
 const OWN_PREFIX: &str = "cherrystream-";
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -65,26 +65,26 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// What a daemon asks of another.
+/// Operation requested of another daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Op {
-    /// To pass a request to a backend server.
+    /// Forwards a request to a backend server.
     Call,
-    /// To keep a slot for a request that follows; see [`cherrystream_core::reservations`].
+    /// Reserves a slot for a request that follows; see [`cherrystream_core::reservations`].
     Reserve,
-    /// To tell what became of an attempt, and forbid it if it has not begun.
+    /// Returns the state of an attempt, and fences it if it has not started.
     Fence,
-    /// For an offer of the shared state that it holds.
+    /// Returns an offer of the shared state held by the peer.
     Fetch,
-    /// For a part of an update that it holds; see [`cherrystream_core::distribution`].
+    /// Returns a chunk of an update held by the peer; see [`cherrystream_core::distribution`].
     Chunk,
-    /// For credits of a quota; see [`cherrystream_core::quota`].
+    /// Leases credits of a quota; see [`cherrystream_core::quota`].
     Quota,
-    /// To take and tell what is known of requests that end backend servers; see [`cherrystream_core::suspects`].
+    /// Exchanges records of suspect requests; see [`cherrystream_core::suspects`].
     Suspects,
-    /// For a list of these, for operators.
+    /// Lists the suspect requests, for an operator.
     SuspectList,
-    /// To clear one of them, as an operator wants it.
+    /// Clears a suspect request, for an operator.
     SuspectLift,
 }
 
@@ -101,7 +101,7 @@
         Op::SuspectLift,
     ];
 
-    /// Returns the value of the header.
+    /// Returns the header value.
     pub const fn as_str(self) -> &'static str {
         match self {
             Op::Call => "call",
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Reads the value of the header.
+    /// Reads the operation from the headers.
     pub fn read(headers: &HeaderMap) -> Option<Op> {
         let text = text(headers, &OP)?;
         Op::ALL.into_iter().find(|op| op.as_str() == text)
@@ -128,49 +128,49 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// Returns a header's value, read from its text.
+/// Returns a header's value, parsed from its text.
 pub fn parsed<T: FromStr>(headers: &HeaderMap, name: &HeaderName) -> Option<T> {
     text(headers, name)?.parse().ok()
 }
 
-/// Returns a header's value, read from its JSON form.
+/// Returns a header's value, parsed from JSON.
 pub fn json<T: DeserializeOwned>(headers: &HeaderMap, name: &HeaderName) -> Option<T> {
     serde_json::from_slice(headers.get(name)?.as_bytes()).ok()
 }
 
-/// Sets a header; a value that cannot stand in one is left out.
+/// Sets a header; a value that is not valid in a header is omitted.
 pub fn set(headers: &mut HeaderMap, name: HeaderName, value: impl ToString) {
     if let Ok(value) = HeaderValue::try_from(value.to_string()) {
         headers.insert(name, value);
     }
 }
 
-/// Sets a header to a value that needs no check.
+/// Sets a header to a value that needs no validation.
 pub fn set_static(headers: &mut HeaderMap, name: HeaderName, value: &'static str) {
     headers.insert(name, HeaderValue::from_static(value));
 }
 
-/// Sets a header to a JSON form.
+/// Sets a header to a value encoded as JSON.
 pub fn set_json(headers: &mut HeaderMap, name: HeaderName, value: &impl Serialize) {
     if let Ok(text) = serde_json::to_string(value) {
         set(headers, name, text);
     }
 }
 
-/// Sets a header to the compact form of a value.
+/// Sets a header to a value in compact form: postcard in URL-safe base64.
 pub fn set_compact(headers: &mut HeaderMap, name: HeaderName, value: &impl Serialize) {
     if let Ok(bytes) = postcard::to_stdvec(value) {
         set(headers, name, URL_SAFE_NO_PAD.encode(bytes));
     }
 }
 
-/// Reads the compact form of a value.
+/// Returns a header's value, decoded from the compact form.
 pub fn compact<T: DeserializeOwned>(headers: &HeaderMap, name: &HeaderName) -> Option<T> {
     let bytes = URL_SAFE_NO_PAD.decode(headers.get(name)?).ok()?;
     postcard::from_bytes(&bytes).ok()
 }
 
-/// Removes the headers that concern one connection only, and those that they name.
+/// Removes hop-by-hop headers, including those listed in `Connection`.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -184,11 +184,11 @@
     }
 }
 
-/// Removes the system's own headers, which no caller or backend server may set for others.
+/// Removes the system's own headers, which callers and backend servers may not set.
 pub fn remove_own(headers: &mut HeaderMap) {
-    let own: Vec<HeaderName> =
+    let names: Vec<HeaderName> =
         headers.keys().filter(|name| name.as_str().starts_with(OWN_PREFIX)).cloned().collect();
-    for name in &own {
+    for name in &names {
         headers.remove(name);
     }
 }
--- a/crates/cherrystream-daemon/src/held.rs
+++ b/crates/cherrystream-daemon/src/held.rs
@@ -1,4 +1,4 @@
-//! The shared state that this daemon holds. It never goes back to an earlier revision.
+//! The revision of the shared state held by this daemon. It never decreases.
 
 use cherrystream_core::rollout::guard::CanaryLease;
 use cherrystream_core::shared;
@@ -8,27 +8,27 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// A revision of the shared state.
+/// A snapshot of the shared state.
 #[derive(Clone, Debug)]
 pub struct Held {
-    /// Its revision; zero before the first.
+    /// Revision of the snapshot; zero before the first update.
     pub revision: Revision,
-    /// The state but for its route table.
+    /// The state without its route table.
     pub shared: Arc<Shared>,
-    /// The route table. It may be long, and most revisions leave it as it is, so it is shared by them.
+    /// The route table. Snapshots share it, as it may be long and rarely changes.
     pub routes: Option<Arc<RouteTable>>,
 }
 
 impl Held {
-    /// Returns the whole state.
+    /// Returns the complete state, route table included.
     pub fn whole(&self) -> Shared {
         Shared { routes: self.routes.as_deref().cloned(), ..(*self.shared).clone() }
     }
 
-    /// Takes a whole state in place of the one held.
-    fn replace(&mut self, mut whole: Shared) {
-        self.routes = whole.routes.take().map(Arc::new);
-        self.shared = Arc::new(whole);
+    /// Replaces the state by a complete one.
+    fn replace(&mut self, mut state: Shared) {
+        self.routes = state.routes.take().map(Arc::new);
+        self.shared = Arc::new(state);
     }
 
     fn apply(&mut self, change: &Change) {
@@ -43,70 +43,70 @@
     }
 }
 
-/// The revision held now.
+/// Holds the current snapshot of the shared state.
 #[derive(Debug)]
 pub struct HeldCell {
-    now: RwLock<Held>,
+    current: RwLock<Held>,
     tx: watch::Sender<Revision>,
-    /// Until when the word of control holds. Taken with no other lock.
-    word: Mutex<CanaryLease>,
+    /// Lease of control for canaries. Locked while no other lock is held.
+    canary_lease: Mutex<CanaryLease>,
 }
 
 impl Default for HeldCell {
     fn default() -> Self {
         let revision = Revision::default();
-        let held = Held { revision, shared: Arc::new(shared::empty()), routes: None };
+        let initial = Held { revision, shared: Arc::new(shared::empty()), routes: None };
         HeldCell {
-            now: RwLock::new(held),
+            current: RwLock::new(initial),
             tx: watch::Sender::new(revision),
-            word: Mutex::default(),
+            canary_lease: Mutex::default(),
         }
     }
 }
 
 impl HeldCell {
-    /// Returns the revision held now with its state.
+    /// Returns the current snapshot.
     pub fn get(&self) -> Held {
-        self.now.read().clone()
+        self.current.read().clone()
     }
 
-    /// Returns the revision held now.
+    /// Returns the current revision.
     pub fn revision(&self) -> Revision {
-        self.now.read().revision
+        self.current.read().revision
     }
 
-    /// Watches the revision held.
+    /// Subscribes to changes of the revision.
     pub fn subscribe(&self) -> watch::Receiver<Revision> {
         self.tx.subscribe()
     }
 
-    /// Takes a word of control that what is held here is the newest, as far as that matters for a trial, until a time.
+    /// Extends the lease by which control confirms that this state is recent enough for canaries.
     pub fn hear_word(&self, until: Timestamp) {
-        self.word.lock().extend(until);
+        self.canary_lease.lock().extend(until);
     }
 
-    /// Returns whether control vouches for what is held.
+    /// Returns whether control's lease for canaries is valid.
     pub fn is_vouched_for(&self, now: Timestamp) -> bool {
-        self.word.lock().is_valid(now)
+        self.canary_lease.lock().is_valid(now)
     }
 
-    /// Takes an update; returns whether it was newer than what was held.
+    /// Applies an update; returns whether it was newer than the current revision.
     pub fn take(&self, update: Update) -> bool {
-        let mut now = self.now.write();
-        if update.revision <= now.revision {
+        let mut current = self.current.write();
+        if update.revision <= current.revision {
             return false;
         }
         match update.full {
-            Some(whole) => now.replace(whole),
+            Some(state) => current.replace(state),
             None => {
-                let held = now.revision;
-                let newer = update.changes.iter().filter(|c| c.revision > held);
-                newer.for_each(|numbered| now.apply(&numbered.change));
+                let base = current.revision;
+                let newer = update.changes.iter().filter(|c| c.revision > base);
+                newer.for_each(|numbered| current.apply(&numbered.change));
             }
         }
-        now.revision = update.revision;
-        let revision = now.revision;
-        drop(now);
+        current.revision = update.revision;
+        let revision = current.revision;
+        drop(current);
         self.tx.send_replace(revision);
         true
     }
--- a/crates/cherrystream-daemon/src/hop.rs
+++ b/crates/cherrystream-daemon/src/hop.rs
@@ -1,7 +1,7 @@
-//! What two daemons tell each other about a call, on the hop between them.
+//! Metadata of calls and answers on the hop between two daemons.
 //!
-//! Values that differ from call to call travel in one compact header. HTTP/2 keeps a small table of
-//! headers for each connection, and a value that never comes again only pushes out those that do.
+//! Per-call values travel in one compact header. HTTP/2 keeps a small header table for each
+//! connection, from which values that never repeat would evict those that do.
 
 use crate::headers::{self, Op};
 use crate::refusal::Refused;
@@ -14,20 +14,20 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A fingerprint in eight bytes: its compact form would take ten.
+/// A fingerprint as eight bytes; a variable-length integer would take ten.
 pub type FingerprintBytes = [u8; 8];
 
-/// Writes a fingerprint.
+/// Encodes a fingerprint.
 pub fn write_fingerprint(request: Fingerprint) -> FingerprintBytes {
     request.0.to_le_bytes()
 }
 
-/// Reads a fingerprint.
+/// Decodes a fingerprint.
 pub fn read_fingerprint(bytes: FingerprintBytes) -> Fingerprint {
     Fingerprint(u64::from_le_bytes(bytes))
 }
 
-/// Identifiers of calls. Those that the system makes, and most others, are 16 hexadecimal digits, which take half as many bytes.
+/// Serializes call identifiers. Most are 16 hexadecimal digits, which fit in eight bytes.
 mod call_id {
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
@@ -59,62 +59,62 @@
     }
 }
 
-/// What differs from call to call, as the outbound says it.
+/// Per-call values sent by the outbound.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallHead {
     /// Identifier of the call.
     #[serde(with = "call_id")]
     pub call: String,
-    /// Weight when load is shed.
+    /// Weight of the call in load shedding.
     pub weight: u32,
-    /// Microseconds that remain of the call.
+    /// Time left until the deadline, in microseconds.
     pub remaining_us: u64,
-    /// Microseconds that it may wait for a slot.
+    /// Longest wait for a slot, in microseconds.
     pub wait_us: u64,
-    /// Retries that it may still cause.
+    /// Number of retries that the call may still cause.
     pub allowance: u32,
-    /// Whether it is to be let in only where it is served well.
+    /// Whether the inbound refuses the call unless it can be served promptly.
     pub selective: bool,
-    /// Microseconds within which an answer is good, where the route tells.
+    /// Time within which an answer is useful, in microseconds, if the route has a target latency.
     pub good_us: Option<u64>,
-    /// Slot that was reserved for it.
+    /// Slot reserved for the call.
     pub reservation: Option<Reservation>,
-    /// Stands for the request whenever it comes again.
+    /// Fingerprint of the request, the same for each repetition of it.
     pub request: FingerprintBytes,
-    /// Whether it was sent here to run alone.
+    /// Whether the call is to run in isolation.
     pub alone: bool,
 }
 
-/// What goes with an answer, as the inbound says it.
+/// Metadata of an answer, sent by the inbound.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AnswerHead {
-    /// Identifier of the call that is answered.
+    /// Identifier of the answered call.
     #[serde(with = "call_id")]
     pub call: String,
-    /// Word on the backend server, if it is there.
+    /// Load report of the backend server, if it exists there.
     pub report: Option<Report>,
-    /// Milliseconds after which to come back, on a refusal.
+    /// Milliseconds after which to retry, set on a refusal.
     pub retry_after_ms: u32,
-    /// Slot that is kept for the call, if it asked for one.
+    /// Slot reserved for the call, if requested.
     pub reservation: Option<Reservation>,
 }
 
-/// What does not differ between the calls of one caller to one backend server.
+/// Values shared by all calls of one caller to one backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct Aim<'a> {
     /// Service of the backend server.
     pub service: &'a str,
-    /// Backend server that was chosen.
+    /// Name of the chosen backend server.
     pub server: &'a str,
-    /// Route that took the request, or its kind.
+    /// Name of the matched route, or the kind of the request.
     pub kind: &'a str,
-    /// Service on whose host the request began, where hosts have one.
+    /// Service on whose host the request originates, if the host has one.
     pub caller: Option<&'a str>,
-    /// Workspace that the request belongs to, where there are workspaces.
+    /// Workspace of the request, if any.
     pub workspace: Option<&'a str>,
 }
 
-/// Writes a call's part of the headers.
+/// Writes the headers of a call.
 pub fn write_call(map: &mut HeaderMap, op: Op, aim: &Aim<'_>, head: &CallHead) {
     headers::set_static(map, headers::OP, op.as_str());
     headers::set(map, headers::SERVICE, aim.service);
@@ -129,7 +129,7 @@
     headers::set_compact(map, headers::HOP, head);
 }
 
-/// Reads a call's part of the headers.
+/// Reads the headers of a call.
 pub fn read_call(map: &HeaderMap) -> Option<(Aim<'_>, CallHead)> {
     let aim = Aim {
         service: headers::text(map, &headers::SERVICE)?,
@@ -141,8 +141,8 @@
     Some((aim, headers::compact(map, &headers::HOP)?))
 }
 
-/// Writes a backend server's answer, or why there is none. A refusal has no body here: the outbound
-/// writes the one that its caller gets.
+/// Writes the answer of a backend server, or a refusal. A refusal has no body here; the outbound
+/// writes the body that its caller receives.
 pub fn write_answer(
     call: String,
     result: Result<Response<Body>, Refused>,
@@ -160,7 +160,7 @@
     res
 }
 
-/// Writes the slot that is kept for a call, or why there is none.
+/// Writes a reservation, or a refusal.
 pub fn write_reservation(
     call: String,
     result: Result<Reservation, Refused>,
@@ -185,13 +185,13 @@
     res
 }
 
-/// Reads what goes with an answer.
+/// Reads the metadata of an answer.
 pub fn read_answer(map: &HeaderMap) -> Option<AnswerHead> {
     headers::compact(map, &headers::HOP)
 }
 
-/// Returns why there is no answer; `None` when there is one. A peer that gives no reason that is
-/// known here may have run the request.
+/// Returns the refusal in an answer, or `None` if a backend server answered. With an unknown
+/// reason, the request is considered to have possibly run.
 pub fn read_refusal(map: &HeaderMap, head: &AnswerHead) -> Option<Refused> {
     let outcome = headers::text(map, &headers::OUTCOME).and_then(Outcome::read);
     if outcome == Some(Outcome::Answered) {
@@ -203,12 +203,12 @@
 }
 
 impl CallHead {
-    /// Returns the time that remains of the call.
+    /// Returns the time left until the deadline.
     pub fn remaining(&self) -> Duration {
         Duration::from_micros(self.remaining_us)
     }
 
-    /// Returns the time that the call may wait for a slot.
+    /// Returns the longest wait for a slot.
     pub fn wait(&self) -> Duration {
         Duration::from_micros(self.wait_us)
     }
--- a/crates/cherrystream-daemon/src/outbound/once.rs
+++ b/crates/cherrystream-daemon/src/outbound/at_most_once.rs
@@ -1,7 +1,7 @@
 //! Requests that may not be repeated: each attempt is claimed in the ledger before it is sent.
 
 use super::request::Call;
-use super::{Outbound, Tried};
+use super::{AttemptResult, Outbound};
 use crate::headers::{self, Op};
 use crate::held::Held;
 use crate::inbound::Fate;
@@ -18,86 +18,92 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Questions about an earlier attempt at most, before the request is refused.
-const QUESTIONS_AT_MOST: u32 = 3;
-/// Age from which an attempt that has not arrived at its inbound is forbidden. A younger one may
-/// still be on its way, and two resends would only forbid each other.
-const FORBID_AFTER_MS: u64 = 500;
-/// When an attempt that is still running is worth asking for again.
-const STILL_RUNNING_RETRY: Duration = Duration::from_millis(200);
+/// Largest number of query_count about earlier attempts before the request is refused.
+const MAX_QUERIES: u32 = 3;
+/// Age in milliseconds from which an attempt that has not reached its inbound is fenced. A younger
+/// attempt may still be in flight, and two callers that send the same key could keep fencing each
+/// other.
+const FENCE_AFTER_MS: u64 = 500;
+/// Retry delay while an earlier attempt is running.
+const STILL_RUNNING_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// An attempt that the ledger granted.
-struct Granted {
+/// An attempt whose claim the ledger granted.
+struct GrantedClaim {
     holder: Holder,
     claimed: Claimed,
 }
 
-/// What the ledger tells of an earlier attempt.
-struct Known {
+/// An earlier attempt of the same key, as recorded in the ledger.
+struct EarlierAttempt {
     holder: Holder,
     released: bool,
     age_ms: u64,
     index: u64,
 }
 
-/// What an earlier attempt of the same key means for this request.
-enum Earlier {
-    /// It was proved not run; a next attempt may name it.
+/// Outcome of an earlier attempt of the same key.
+enum EarlierOutcome {
+    /// It has provably not run; the next attempt may supersede it.
     NotRun(Holder),
-    /// It settles what the caller is told.
-    Settled(Tried),
+    /// It determines the result for the caller.
+    Final(AttemptResult),
 }
 
-/// What follows an attempt.
-enum Next {
-    /// It was proved not run, and another attempt may name it.
-    Again(Holder),
-    /// It settles what the caller is told.
-    Settled(Tried),
+/// Next step after an attempt.
+enum AfterAttempt {
+    /// The attempt has provably not run, and another one may supersede it.
+    Retry(Holder),
+    /// The attempt determines the result for the caller.
+    Final(AttemptResult),
 }
 
 impl Outbound {
-    /// Runs a request at most once, whoever else sends the same key.
-    pub(super) async fn run_once(&self, call: &mut Call, key: Arc<str>, held: &Held) -> Tried {
-        let mut proved: Option<Holder> = None;
-        let mut questions = 0;
+    /// Runs a request at most once across all requests with the same key.
+    pub(super) async fn run_once(
+        &self,
+        call: &mut Call,
+        key: Arc<str>,
+        held: &Held,
+    ) -> AttemptResult {
+        let mut not_run: Option<Holder> = None;
+        let mut query_count = 0;
         loop {
             if let Err(refused) = call.check_key(&self.routes()) {
-                if let Some(holder) = proved {
+                if let Some(holder) = not_run {
                     self.release(call, &key, holder.claim);
                 }
                 return Err(refused);
             }
             if let Err(refused) = self.check_suspect(call) {
-                if let Some(holder) = proved {
+                if let Some(holder) = not_run {
                     self.release(call, &key, holder.claim);
                 }
                 return Err(refused);
             }
             let server = self.choose(call)?;
-            let req = self.claim_request(call, &key, held, &server, proved.take())?;
+            let req = self.claim_request(call, &key, held, &server, not_run.take())?;
             match self.claim(call, &req).await? {
                 ClaimReply::Granted { index } => {
-                    let granted = granted(&req, index);
-                    let tried = self.attempt(call, held, &server, Some(granted.claimed)).await;
-                    match self.after_attempt(call, &key, granted, tried) {
-                        Next::Again(holder) => proved = Some(holder),
-                        Next::Settled(tried) => return tried,
+                    let granted = granted_claim(&req, index);
+                    let result = self.attempt(call, held, &server, Some(granted.claimed)).await;
+                    match self.after_attempt(call, &key, granted, result) {
+                        AfterAttempt::Retry(holder) => not_run = Some(holder),
+                        AfterAttempt::Final(result) => return result,
                     }
                 }
                 ClaimReply::Held { holder, same_request, released, age_ms, index } => {
                     call.tried.pop();
-                    questions += 1;
+                    query_count += 1;
                     if !same_request {
                         return Err(Refused::new(Reason::KeyReused));
                     }
-                    if questions > QUESTIONS_AT_MOST {
+                    if query_count > MAX_QUERIES {
                         return Err(Refused::new(Reason::StillRunning));
                     }
-                    let known = Known { holder, released, age_ms, index };
-                    proved = match self.earlier(call, &key, held, known).await {
-                        Earlier::NotRun(holder) => Some(holder),
-                        Earlier::Settled(tried) => return tried,
+                    let earlier = EarlierAttempt { holder, released, age_ms, index };
+                    not_run = match self.resolve_earlier(call, &key, held, earlier).await {
+                        EarlierOutcome::NotRun(holder) => Some(holder),
+                        EarlierOutcome::Final(result) => return result,
                     };
                 }
                 ClaimReply::Full { retry_after_ms } => {
@@ -115,7 +121,7 @@
         key: &Arc<str>,
         held: &Held,
         server: &ServerId,
-        proved: Option<Holder>,
+        not_run: Option<Holder>,
     ) -> Result<ClaimRequest, Refused> {
         let incarnation = self
             .incarnation(call, held, server)
@@ -124,111 +130,119 @@
             service: call.service.to_string(),
             key: key.to_string(),
             fingerprint: call.fingerprint(),
-            attempt: proved.as_ref().map_or(1, |holder| holder.attempt + 1),
+            attempt: not_run.as_ref().map_or(1, |holder| holder.attempt + 1),
             claim: rand::random(),
             host: server.host.to_string(),
             backend_server: server.name.to_string(),
             incarnation,
-            fenced: proved,
+            fenced: not_run,
         })
     }
 
-    /// Returns the incarnation of a backend server's inbound: by its own word, else by its
-    /// registration.
+    /// Returns the incarnation of a backend server's inbound, from its load reports, or else from
+    /// its registration.
     fn incarnation(&self, call: &Call, held: &Held, server: &ServerId) -> Option<u64> {
         if *server.host == *self.host {
             return Some(self.inbound.incarnation);
         }
-        let said = self.with_server(call, server, |s, _| s.incarnation()).flatten();
-        said.or_else(|| held.shared.hosts.get(&*server.host).map(|h| h.incarnation))
+        let reported = self.with_server(call, server, |s, _| s.incarnation()).flatten();
+        reported.or_else(|| held.shared.hosts.get(&*server.host).map(|h| h.incarnation))
     }
 
     async fn claim(&self, call: &Call, req: &ClaimRequest) -> Result<ClaimReply, Refused> {
-        let claimed = self.ledger.claim(req, self.patience(call)).await;
+        let claimed = self.ledger.claim(req, self.ledger_timeout(call)).await;
         claimed.map_err(|_| Refused::new(Reason::LedgerUnavailable))
     }
 
-    /// Tells what follows an attempt; a key whose attempt was not run is freed.
+    /// Returns the next step after an attempt. Releases the key if the attempt did not run and
+    /// there is no retry.
     fn after_attempt(
         &self,
         call: &mut Call,
         key: &Arc<str>,
-        granted: Granted,
-        tried: Tried,
-    ) -> Next {
-        let refused = match tried {
+        granted: GrantedClaim,
+        result: AttemptResult,
+    ) -> AfterAttempt {
+        let refused = match result {
             Err(refused) if refused.reason.outcome() == Outcome::NotRun => refused,
-            settled => return Next::Settled(settled),
+            result => return AfterAttempt::Final(result),
         };
-        match self.weigh_retry(call, refused) {
-            Ok(()) => Next::Again(granted.holder),
+        match self.decide_retry(call, refused) {
+            Ok(()) => AfterAttempt::Retry(granted.holder),
             Err(refused) => {
                 self.release(call, key, granted.holder.claim);
-                Next::Settled(Err(refused))
+                AfterAttempt::Final(Err(refused))
             }
         }
     }
 
-    /// Frees the key without keeping the caller waiting.
+    /// Releases the key in the background.
     fn release(&self, call: &Call, key: &Arc<str>, claim: u64) {
         let req = ReleaseRequest { service: call.service.to_string(), key: key.to_string(), claim };
         let ledger = self.ledger.clone();
         tokio::spawn(async move { ledger.release(req).await });
     }
 
-    /// Finds out what became of an earlier attempt.
-    async fn earlier(&self, call: &Call, key: &Arc<str>, held: &Held, known: Known) -> Earlier {
-        let Known { holder, released, age_ms, index } = known;
+    /// Determines the outcome of an earlier attempt.
+    async fn resolve_earlier(
+        &self,
+        call: &Call,
+        key: &Arc<str>,
+        held: &Held,
+        earlier: EarlierAttempt,
+    ) -> EarlierOutcome {
+        let EarlierAttempt { holder, released, age_ms, index } = earlier;
         if released {
-            return Earlier::NotRun(holder);
+            return EarlierOutcome::NotRun(holder);
         }
-        let question = FenceRequest {
+        let fence_request = FenceRequest {
             service: call.service.to_string(),
             key: key.to_string(),
             attempt: holder.attempt,
             claim: holder.claim,
             index,
             incarnation: holder.incarnation,
-            forbid: age_ms >= FORBID_AFTER_MS,
+            forbid: age_ms >= FENCE_AFTER_MS,
         };
-        let fate = self.fate(call, held, &holder, question).await;
+        let fate = self.query_fate(call, held, &holder, fence_request).await;
         let reason = match (fate.state, fate.answer) {
-            (AttemptState::Fenced, _) => return Earlier::NotRun(holder),
+            (AttemptState::Fenced, _) => return EarlierOutcome::NotRun(holder),
             (AttemptState::Answered, Some(answer)) => {
                 let mut res = answer;
                 headers::set_static(res.headers_mut(), headers::REPLAYED, "true");
-                return Earlier::Settled(Ok(res));
+                return EarlierOutcome::Final(Ok(res));
             }
             (AttemptState::Answered | AttemptState::Ran, _) => Reason::RanBefore,
             (AttemptState::Running | AttemptState::Absent, _) => Reason::StillRunning,
             (AttemptState::Unknown, _) => Reason::EarlierUnknown,
         };
-        Earlier::Settled(Err(Refused { reason, retry_after: STILL_RUNNING_RETRY }))
+        EarlierOutcome::Final(Err(Refused { reason, retry_after: STILL_RUNNING_RETRY_AFTER }))
     }
 
-    async fn fate(
+    async fn query_fate(
         &self,
         call: &Call,
         held: &Held,
         holder: &Holder,
-        question: FenceRequest,
+        fence_request: FenceRequest,
     ) -> RemoteFate {
         if *holder.host == *self.host {
-            return self.inbound.fence(&question).into();
+            return self.inbound.fence(&fence_request).into();
         }
-        let patience = self.patience(call);
-        let asked = tokio::time::timeout(patience, self.ask(held, holder, &question)).await;
-        asked.ok().flatten().unwrap_or_default()
+        let max_wait = self.ledger_timeout(call);
+        let fate =
+            tokio::time::timeout(max_wait, self.query_peer(held, holder, &fence_request)).await;
+        fate.ok().flatten().unwrap_or_default()
     }
 
-    async fn ask(
+    async fn query_peer(
         &self,
         held: &Held,
         holder: &Holder,
-        question: &FenceRequest,
+        fence_request: &FenceRequest,
     ) -> Option<RemoteFate> {
         let address = &held.shared.hosts.get(&holder.host)?.peer_address;
-        let text = serde_json::to_vec(question).ok()?;
+        let text = serde_json::to_vec(fence_request).ok()?;
         let mut req = Request::post(format!("http://{address}/")).body(body::full(text)).ok()?;
         headers::set_static(req.headers_mut(), headers::OP, Op::Fence.as_str());
         if let Some(key) = &self.key {
@@ -249,7 +263,7 @@
     }
 }
 
-/// What became of an attempt, here or at a peer.
+/// State of an attempt at this host or at a peer.
 struct RemoteFate {
     state: AttemptState,
     answer: Option<Response<Body>>,
@@ -267,8 +281,8 @@
     }
 }
 
-fn granted(req: &ClaimRequest, index: u64) -> Granted {
-    Granted {
+fn granted_claim(req: &ClaimRequest, index: u64) -> GrantedClaim {
+    GrantedClaim {
         holder: Holder {
             attempt: req.attempt,
             claim: req.claim,
--- a/crates/cherrystream-daemon/src/outbound/choosing.rs
+++ b/crates/cherrystream-daemon/src/outbound/choosing.rs
@@ -1,57 +1,57 @@
-//! Which backend server a request goes to next.
+//! Choice of the backend server for the next attempt.
 
 use super::request::Call;
-use super::{Choosing, Outbound};
+use super::{Outbound, ServiceBalancer};
 use crate::refusal::Refused;
 use cherrystream_core::choose::{Distance, Nearby, ServerId};
 use cherrystream_core::reasons::Reason;
 use std::time::Duration;
 
-/// Part of the time that a request may wait for a slot in which it rather waits nearby.
-const NEAR_WAIT_PART: f64 = 0.5;
-/// Shortest time between offers of one request in its own failure domain.
-const OFFER_AGAIN_AFTER: Duration = Duration::from_millis(20);
-/// As `OFFER_AGAIN_AFTER`, the longest: a backend server that works slowly is asked for its pace as often.
-const OFFER_AGAIN_WITHIN: Duration = Duration::from_millis(60);
+/// Share of the remaining queue wait that a request may spend in its own failure domain.
+const MAX_NEAR_WAIT_SHARE: f64 = 0.5;
+/// Shortest interval between offers of a request in its own failure domain.
+const MIN_OFFER_INTERVAL: Duration = Duration::from_millis(20);
+/// Longest interval between such offers.
+const MAX_OFFER_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Where a request goes next.
-pub(super) enum Next {
-    /// To this backend server now.
+/// Next step of a request.
+pub(super) enum Choice {
+    /// Send it to this backend server now.
     Server(ServerId),
-    /// Nowhere yet: it is better chosen for after this time.
-    Later(Duration),
+    /// Choose again after this time.
+    Wait(Duration),
 }
 
 impl Outbound {
-    /// Chooses where a request goes next: one with a long body rather waits in its own failure domain for
-    /// a while than leaves it.
+    /// Chooses the next step. A request with a long body stays in its own failure domain for a
+    /// limited time.
     ///
     /// # Errors
     ///
-    /// Fails with the final refusal when there is no backend server to go to.
-    pub(super) fn choose_next(&self, call: &mut Call) -> Result<Next, Refused> {
+    /// Returns the final refusal if no backend server is available.
+    pub(super) fn choose_next(&self, call: &mut Call) -> Result<Choice, Refused> {
         let now = self.clock.now();
-        if let Some(server) = self.choose_on_trial(call, now) {
-            return Ok(Next::Server(server));
+        if let Some(server) = self.choose_canary(call, now) {
+            return Ok(Choice::Server(server));
         }
         if call.alone || !call.stays_nearby(now) {
-            return self.choose(call).map(Next::Server);
+            return self.choose(call).map(Choice::Server);
         }
         let table = self.table(&call.service).ok_or(Refused::new(Reason::NoSuchService))?;
         let kind = call.treatment.kind.as_str();
-        let mut choosing = table.lock();
-        let Choosing { table, rng, .. } = &mut *choosing;
-        let mut avoided = self.barred(call, table);
-        avoided.extend(call.tried.iter().cloned());
-        let busy_for = match table.choose_nearby(now, rng, &avoided, kind) {
-            Nearby::Free(server) => return Ok(Next::Server(server)),
+        let mut balancer = table.lock();
+        let ServiceBalancer { table, rng, .. } = &mut *balancer;
+        let mut excluded = self.disallowed_servers(call, table);
+        excluded.extend(call.tried.iter().cloned());
+        let busy_for = match table.choose_nearby(now, rng, &excluded, kind) {
+            Nearby::Free(server) => return Ok(Choice::Server(server)),
             Nearby::BusyFor(time) => Some(time),
             Nearby::None => None,
         };
-        drop(choosing);
+        drop(balancer);
         match busy_for {
-            Some(time) => Ok(Next::Later(time.clamp(OFFER_AGAIN_AFTER, OFFER_AGAIN_WITHIN))),
-            None => self.choose(call).map(Next::Server),
+            Some(time) => Ok(Choice::Wait(time.clamp(MIN_OFFER_INTERVAL, MAX_OFFER_INTERVAL))),
+            None => self.choose(call).map(Choice::Server),
         }
     }
 
@@ -59,54 +59,54 @@
     ///
     /// # Errors
     ///
-    /// Fails with the final refusal when there is none to go to.
+    /// Returns the final refusal if no backend server is available.
     pub(super) fn choose(&self, call: &mut Call) -> Result<ServerId, Refused> {
         let table = self.table(&call.service).ok_or(Refused::new(Reason::NoSuchService))?;
         let now = self.clock.now();
         if call.deadline.remaining(now).is_none() {
             return Err(Refused::new(Reason::DeadlineBeforeStart));
         }
-        let mut choosing = table.lock();
-        let Choosing { table, rng, .. } = &mut *choosing;
-        let barred = self.barred(call, table);
-        if !barred.is_empty() && barred.len() == table.ids().count() {
+        let mut balancer = table.lock();
+        let ServiceBalancer { table, rng, .. } = &mut *balancer;
+        let disallowed = self.disallowed_servers(call, table);
+        if !disallowed.is_empty() && disallowed.len() == table.ids().count() {
             return Err(Refused::new(Reason::RegionNotAllowed));
         }
         if call.alone {
-            let server = table.choose_alone(now, call.identity.request, &barred);
+            let server = table.choose_alone(now, call.identity.request, &disallowed);
             let server = server.ok_or(Refused::new(Reason::NoBackendServer))?;
             call.tried.push(server.name.clone());
             return Ok(server);
         }
-        // When all were tried, the first may have a free slot by now.
-        let tried: Vec<_> = barred.iter().chain(&call.tried).cloned().collect();
-        let avoided: Vec<_> = tried.iter().chain(&call.busy).cloned().collect();
+        // Once all were tried, the first may have a free slot again.
+        let tried: Vec<_> = disallowed.iter().chain(&call.tried).cloned().collect();
+        let excluded: Vec<_> = tried.iter().chain(&call.busy).cloned().collect();
         let kind = call.treatment.kind.as_str();
         let free = match call.is_selective() {
-            true => table.choose_free(now, rng, &avoided, kind),
+            true => table.choose_free(now, rng, &excluded, kind),
             false => None,
         };
-        let far = free.as_ref().is_some_and(|server| server.distance >= Distance::SameRegion);
-        let within = self.worth_of_crossing(call);
-        let near = match far {
-            true => table.choose_near_within(now, rng, &tried, kind, within),
+        let is_far = free.as_ref().is_some_and(|server| server.distance >= Distance::SameRegion);
+        let max_wait = self.max_near_wait(call);
+        let near = match is_far {
+            true => table.choose_near_within(now, rng, &tried, kind, max_wait),
             false => None,
         };
         let server = match near.or(free) {
-            Some(server) if far && server.distance < Distance::SameRegion => {
+            Some(server) if is_far && server.distance < Distance::SameRegion => {
                 call.selective_offers = 0;
                 Some(server)
             }
             Some(server) => Some(server),
             None => {
-                // None has room: it takes what it gets, from one that has not failed it yet.
+                // None has a free slot: queues at one that has not failed this request.
                 call.selective_offers = 0;
                 let open = table.choose_open(now, rng, &tried, kind);
                 let open = open.map_err(|retry_after| Refused {
                     retry_after,
                     ..Refused::new(Reason::QueueTooLong)
                 })?;
-                open.or_else(|| table.choose(now, rng, &barred))
+                open.or_else(|| table.choose(now, rng, &disallowed))
             }
         };
         let server = server.ok_or(Refused::new(Reason::NoBackendServer))?;
@@ -116,9 +116,9 @@
         Ok(server)
     }
 
-    /// Returns how long a request rather waits in the own failure domain than leaves it: not for longer
-    /// than that costs, and so that it may still go elsewhere when it has waited in vain.
-    fn worth_of_crossing(&self, call: &Call) -> Duration {
-        self.crossing_cost.min(self.wait_left(call).mul_f64(NEAR_WAIT_PART))
+    /// Returns the longest wait for a slot in the own failure domain: at most the cost of leaving
+    /// it, and short enough to leave time for an attempt elsewhere.
+    fn max_near_wait(&self, call: &Call) -> Duration {
+        self.crossing_cost.min(self.remaining_wait(call).mul_f64(MAX_NEAR_WAIT_SHARE))
     }
 }
--- a/crates/cherrystream-daemon/src/outbound/aim.rs
+++ b/crates/cherrystream-daemon/src/outbound/destination.rs
@@ -1,4 +1,4 @@
-//! Where a request goes, who sent it, and how it is treated: what its head tells.
+//! Reads the head of a request and determines its destination.
 
 use super::Outbound;
 use super::request::Member;
@@ -14,81 +14,86 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Weight of the requests with the highest priority.
+/// Weight of requests of the highest priority.
 const HIGHEST_PRIORITY_WEIGHT: u32 = 1_000;
-/// Longest key, in bytes.
-const KEY_BYTES: usize = 255;
+/// Largest length of an idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 255;
 
-/// What the head of a request tells.
-pub(super) struct Aimed {
+/// Values read from the head of a request.
+pub(super) struct ParsedHead {
     pub(super) head: CallerHead,
-    pub(super) aim: Aim,
+    pub(super) destination: Destination,
     pub(super) key: Option<Arc<str>>,
     pub(super) uri: Uri,
 }
 
-/// Reads the head of a request.
-pub(super) fn aim(
+/// Reads the head of a request; checks its route, workspace key and idempotency key.
+pub(super) fn read_head(
     outbound: &Outbound,
     held: &Held,
     parts: &request::Parts,
     caller: Result<CallerHead, Reason>,
-) -> Result<Aimed, Refused> {
+) -> Result<ParsedHead, Refused> {
     let head = caller.map_err(Refused::new)?;
-    let aim = find_aim(outbound, held, parts, head.key.as_ref())?;
-    let key = read_key(&parts.headers, &aim.treatment)?;
-    Ok(Aimed { head, aim, key, uri: target(parts)? })
+    let destination = find_destination(outbound, held, parts, head.key.as_ref())?;
+    let key = read_key(&parts.headers, &destination.treatment)?;
+    Ok(ParsedHead { head, destination, key, uri: target(parts)? })
 }
 
-/// Where a request goes, and how it is treated.
-pub(super) struct Aim {
+/// Service and treatment of a request.
+pub(super) struct Destination {
     pub(super) service: Arc<str>,
     pub(super) treatment: Treatment,
     pub(super) route: Option<Arc<NamedRoute>>,
     pub(super) member: Option<Member>,
-    /// Whether no key and no word of the caller on its workspace goes on. Where no workspace knows the caller and none has
-    /// to, what it sends is for the application.
+    /// Whether the workspace key and workspace headers of the caller are removed before the request
+    /// is forwarded. They are forwarded to the application if no workspace matches and none is
+    /// required.
     pub(super) strips_key: bool,
 }
 
-/// Finds the route of a request, or else the service that it names.
-fn find_aim(
+/// Finds the route of a request, or else the service named in it.
+fn find_destination(
     outbound: &Outbound,
     held: &Held,
     parts: &request::Parts,
     key: Option<&ApiKey>,
-) -> Result<Aim, Refused> {
-    let named = parts.headers.contains_key(headers::SERVICE);
-    if outbound.routes_only || !named {
+) -> Result<Destination, Refused> {
+    let has_service_header = parts.headers.contains_key(headers::SERVICE);
+    if outbound.routes_only || !has_service_header {
         let host = host_name(parts).unwrap_or_default();
         let routes = outbound.routes();
         if let Some(route) = routes.find(host, parts.uri.path()) {
-            return routed(&routes, route, key);
+            return route_destination(&routes, route, key);
         }
     }
     if outbound.routes_only {
-        let known = held.routes.is_some();
-        return Err(Refused::new(if known { Reason::NoRoute } else { Reason::NoConfiguration }));
+        let has_routes = held.routes.is_some();
+        return Err(Refused::new(if has_routes {
+            Reason::NoRoute
+        } else {
+            Reason::NoConfiguration
+        }));
     }
     let name = service_name(parts)?;
     let routes = outbound.routes();
-    // Who bears no key learns nothing of which services there are.
+    // Authenticates before the look-up, so that callers without a key cannot probe for services.
     let admitted = admit(&routes, key, false)?;
     let service =
         held.shared.config.services.get(name).ok_or(Refused::new(Reason::NoSuchService))?;
     let treatment = kinds::treatment(service, parts.method.as_str(), parts.uri.path());
-    let Admitted { member, strips_key } = admitted;
-    Ok(Aim { service: name.into(), treatment, route: None, member, strips_key })
+    let Admission { member, strips_key } = admitted;
+    Ok(Destination { service: name.into(), treatment, route: None, member, strips_key })
 }
 
-fn routed(
+fn route_destination(
     routes: &Arc<RouteIndex>,
     route: &Arc<NamedRoute>,
     key: Option<&ApiKey>,
-) -> Result<Aim, Refused> {
-    let Admitted { member, strips_key } = admit(routes, key, route.route.keyless)?;
-    let of_workspace = member.as_ref().and_then(|member| member.workspace.priority);
-    let priority = of_workspace.unwrap_or(route.route.priority);
+) -> Result<Destination, Refused> {
+    let Admission { member, strips_key } = admit(routes, key, route.route.keyless)?;
+    let workspace_priority = member.as_ref().and_then(|member| member.workspace.priority);
+    let priority = workspace_priority.unwrap_or(route.route.priority);
     let weight = HIGHEST_PRIORITY_WEIGHT.saturating_sub(priority).max(1);
     let service = route.pick(&mut rand::rng()).ok_or(Refused::new(Reason::NoSuchService))?;
     let treatment = Treatment {
@@ -98,49 +103,59 @@
         weight,
         deadline: Duration::from_micros(route.route.timeout_us),
     };
-    Ok(Aim { service: service.into(), treatment, route: Some(route.clone()), member, strips_key })
+    Ok(Destination {
+        service: service.into(),
+        treatment,
+        route: Some(route.clone()),
+        member,
+        strips_key,
+    })
 }
 
-/// A request that may come in.
-struct Admitted {
+/// Result of the workspace check.
+struct Admission {
     member: Option<Member>,
     strips_key: bool,
 }
 
-/// Lets a request in by its key, or without one where none is needed.
+/// Checks the workspace key of a request, where one is required.
 fn admit(
     routes: &Arc<RouteIndex>,
     key: Option<&ApiKey>,
     keyless: bool,
-) -> Result<Admitted, Refused> {
+) -> Result<Admission, Refused> {
     let has_workspaces = routes.workspaces().needs_key();
-    let needed = has_workspaces && !keyless;
-    let member = find_member(routes, key, needed);
-    if needed && member.is_none() {
+    let key_required = has_workspaces && !keyless;
+    let member = find_member(routes, key, key_required);
+    if key_required && member.is_none() {
         return Err(Refused::new(Reason::UnknownKey));
     }
     let strips_key = has_workspaces || member.is_some();
-    Ok(Admitted { member, strips_key })
+    Ok(Admission { member, strips_key })
 }
 
-/// Returns the workspace that holds a key.
-fn find_member(routes: &Arc<RouteIndex>, key: Option<&ApiKey>, needed: bool) -> Option<Member> {
+/// Returns the workspace of a key.
+fn find_member(
+    routes: &Arc<RouteIndex>,
+    key: Option<&ApiKey>,
+    key_required: bool,
+) -> Option<Member> {
     let key = key?;
     let workspace = routes.workspaces().workspace_for_key(key)?.clone();
-    Some(Member { workspace, key: key.clone(), needed, checked: routes.clone() })
+    Some(Member { workspace, key: key.clone(), key_required, checked_against: routes.clone() })
 }
 
-/// Returns the host name that the caller asks for, without its port.
+/// Returns the requested host name, without its port.
 pub(super) fn host_name(parts: &request::Parts) -> Option<&str> {
     let host = parts.uri.host().or_else(|| headers::text(&parts.headers, &header::HOST))?;
     Some(host.split_once(':').map_or(host, |(name, _)| name))
 }
 
-/// Returns the service asked for: by its header, else by the first label of the host name. Two
-/// headers could mean two services to two readers, so they are refused.
+/// Returns the requested service, from its header or else from the first label of the host name.
+/// Repeated headers are ambiguous and rejected.
 fn service_name(parts: &request::Parts) -> Result<&str, Refused> {
-    let named = parts.headers.get_all(headers::SERVICE).iter().count();
-    if named > 1 {
+    let count = parts.headers.get_all(headers::SERVICE).iter().count();
+    if count > 1 {
         return Err(Refused::new(Reason::BadRequest));
     }
     if let Some(name) = headers::text(&parts.headers, &headers::SERVICE) {
@@ -151,7 +166,7 @@
     label.ok_or(Refused::new(Reason::NoSuchService))
 }
 
-/// Returns the key of a request that may not be repeated. Other requests' keys are not looked at.
+/// Returns the idempotency key of a non-repeatable request. It is ignored on other requests.
 fn read_key(map: &HeaderMap, treatment: &Treatment) -> Result<Option<Arc<str>>, Refused> {
     if !treatment.needs_key {
         return Ok(None);
@@ -161,7 +176,7 @@
     }
     let one = map.get_all(headers::IDEMPOTENCY_KEY).iter().count() == 1;
     match headers::text(map, &headers::IDEMPOTENCY_KEY) {
-        Some(key) if one && !key.is_empty() && key.len() <= KEY_BYTES => Ok(Some(key.into())),
+        Some(key) if one && !key.is_empty() && key.len() <= MAX_KEY_BYTES => Ok(Some(key.into())),
         _ => Err(Refused::new(Reason::BadRequest)),
     }
 }
--- a/crates/cherrystream-daemon/src/outbound/hedging.rs
+++ b/crates/cherrystream-daemon/src/outbound/hedging.rs
@@ -1,7 +1,7 @@
-//! A second attempt that joins one that takes long.
+//! Hedged attempts: a second attempt that starts while the first one is slow.
 
 use super::request::Call;
-use super::{Outbound, Tried};
+use super::{AttemptResult, Outbound};
 use crate::held::Held;
 use crate::refusal::Refused;
 use cherrystream_core::choose::ServerId;
@@ -11,16 +11,15 @@
 use http::Response;
 
 impl Outbound {
-    /// Makes an attempt; one that takes long is joined by a second one on another backend server,
-    /// within the budget of retries. The first answer counts. An attempt that fails leaves the other
-    /// one as it is: the request has failed only when both have.
+    /// Makes an attempt. If it is slow, starts a hedged attempt on another backend server, within
+    /// the hedge budget. The first answer wins; if one attempt fails, the other one continues.
     pub(super) async fn attempt_hedged(
         &self,
         call: &mut Call,
         held: &Held,
         server: &ServerId,
-    ) -> Tried {
-        // A second attempt of a request that ends backend servers ends one more.
+    ) -> AttemptResult {
+        // A hedged attempt of a request that crashes backend servers could crash another one.
         let is_clear = self.suspects.judge(call.identity.request) == Treatment::Clear;
         let Some(mut second) = call.fork_for_hedge().filter(|_| is_clear) else {
             return self.attempt(call, held, server, None).await;
@@ -29,10 +28,10 @@
         let (other, answered) = {
             let first = self.attempt(call, held, server, None);
             tokio::pin!(first);
-            if let Ok(tried) = tokio::time::timeout(wait, first.as_mut()).await {
-                return tried;
+            if let Ok(result) = tokio::time::timeout(wait, first.as_mut()).await {
+                return result;
             }
-            let Some(other) = self.choose_second(&mut second, server) else {
+            let Some(other) = self.choose_hedge(&mut second, server) else {
                 return first.await;
             };
             let hedge = self.attempt(&mut second, held, &other, None);
@@ -41,12 +40,12 @@
         };
         answered.map_err(|failures| {
             call.tried.push(other.name);
-            failures.settle(call)
+            failures.combine(call)
         })
     }
 
-    /// Chooses a free backend server for a second attempt, if the budget allows one.
-    fn choose_second(&self, call: &mut Call, first: &ServerId) -> Option<ServerId> {
+    /// Chooses a free backend server for a hedged attempt, if the budget allows one.
+    fn choose_hedge(&self, call: &mut Call, first: &ServerId) -> Option<ServerId> {
         call.check_key(&self.routes()).ok()?;
         call.tried.push(first.name.clone());
         let server = self.choose(call).ok()?;
@@ -62,40 +61,40 @@
     }
 }
 
-/// Why neither of two attempts was answered.
-struct Failures {
+/// Refusals of both attempts.
+struct BothRefused {
     first: Refused,
     second: Refused,
 }
 
-impl Failures {
-    /// Notes on a call what both attempts reached; returns the failure that is weighed.
-    fn settle(self, call: &mut Call) -> Refused {
-        let Failures { first, second } = self;
-        let (told, other) = match retry::second_tells(first.reason, second.reason) {
+impl BothRefused {
+    /// Records the arrivals of both attempts; returns the refusal that decides about a retry.
+    fn combine(self, call: &mut Call) -> Refused {
+        let BothRefused { first, second } = self;
+        let (reported, other) = match retry::second_tells(first.reason, second.reason) {
             true => (second, first),
             false => (first, second),
         };
-        // The one that is weighed is counted then.
+        // The arrival of the returned one is counted by the retry decision.
         call.arrivals += u32::from(other.reason.reached_server());
-        told
+        reported
     }
 }
 
-/// Returns the first answer of two attempts. One that fails does not end the other.
+/// Returns the first answer of two attempts. If one fails, waits for the other.
 async fn first_answer(
-    first: impl Future<Output = Tried>,
-    second: impl Future<Output = Tried>,
-) -> Result<Response<Body>, Failures> {
+    first: impl Future<Output = AttemptResult>,
+    second: impl Future<Output = AttemptResult>,
+) -> Result<Response<Body>, BothRefused> {
     tokio::pin!(first, second);
     tokio::select! {
-        tried = &mut first => match tried {
+        result = &mut first => match result {
             Ok(res) => Ok(res),
-            Err(first) => second.await.map_err(|second| Failures { first, second }),
+            Err(first) => second.await.map_err(|second| BothRefused { first, second }),
         },
-        tried = &mut second => match tried {
+        result = &mut second => match result {
             Ok(res) => Ok(res),
-            Err(second) => first.await.map_err(|first| Failures { first, second }),
+            Err(second) => first.await.map_err(|first| BothRefused { first, second }),
         },
     }
 }
--- a/crates/cherrystream-daemon/src/outbound/mod.rs
+++ b/crates/cherrystream-daemon/src/outbound/mod.rs
@@ -1,17 +1,17 @@
-//! The outbound: takes callers' requests, chooses backend servers and sends the requests on.
+//! The outbound: accepts requests of callers, chooses backend servers and forwards the requests.
 
-mod aim;
+mod at_most_once;
+mod canaries;
 mod choosing;
+mod destination;
 mod hedging;
-mod listing;
-mod once;
 mod regions;
 mod replay;
 mod request;
 mod reserving;
 mod retrying;
 mod send;
-mod trials;
+mod server_lists;
 
 use crate::headers;
 use crate::held::{Held, HeldCell};
@@ -24,6 +24,7 @@
 use crate::request_log::{RequestLog, RequestSummary};
 use crate::suspects::SuspectWatch;
 use crate::sync::Newer;
+use canaries::Canary;
 use cherrystream_core::choose::{Server, Table};
 use cherrystream_core::elapsed_time::ElapsedTimeEstimator;
 use cherrystream_core::reasons::{Outcome, Reason};
@@ -37,7 +38,7 @@
 use cherrystream_net::serve::{Phase, Phases};
 use cherrystream_schema::messages::HostRecord;
 use cherrystream_schema::settings::ChoicePolicy;
-use choosing::Next;
+use choosing::Choice;
 use http::{Request, Response, header};
 use hyper::body::Incoming;
 use parking_lot::{Mutex, RwLock};
@@ -46,49 +47,48 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
-use trials::Trial;
 
-/// A table with the random numbers of its choices.
-pub(crate) struct Choosing {
+/// State for choosing among the backend servers of one service.
+pub(crate) struct ServiceBalancer {
     table: Table,
-    /// The version under trial, where there is one.
-    trial: Option<Trial>,
+    /// The canary, during a roll-out.
+    canary: Option<Canary>,
     rng: SmallRng,
     budget: RetryBudget,
-    /// Part of the retries that second attempts may use while the first one runs.
+    /// Budget of hedged attempts.
     hedges: RetryBudget,
 }
 
-impl Choosing {
+impl ServiceBalancer {
     fn on_call(&mut self) {
         self.budget.on_call();
         self.hedges.on_call();
     }
 
-    /// Returns what is known of a backend server.
+    /// Returns the state of a backend server.
     fn server(&mut self, name: &str) -> Option<&mut Server> {
-        let trial = self.trial.as_mut().and_then(|trial| trial.table.server(name));
-        trial.or_else(|| self.table.server(name))
+        let canary = self.canary.as_mut().and_then(|canary| canary.table.server(name));
+        canary.or_else(|| self.table.server(name))
     }
 }
 
-/// Second attempts that may be saved up.
-const HEDGES_SAVED: f64 = 2.0;
+/// Largest number of saved hedged attempts.
+const MAX_SAVED_HEDGES: f64 = 2.0;
 
-type Tables = HashMap<Arc<str>, Arc<Mutex<Choosing>>>;
+type Tables = HashMap<Arc<str>, Arc<Mutex<ServiceBalancer>>>;
 
-/// How many retries an outbound may make.
+/// Limits of the retries of an outbound.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryOptions {
-    /// Retries for each call.
+    /// Retries earned by each call.
     pub share: f64,
-    /// Second attempts for each call, made while the first one runs.
+    /// Hedged attempts earned by each call.
     pub hedge_share: f64,
-    /// Retries beyond that which all outbounds together may save up for a service.
+    /// Retries that all outbounds together may save for a service.
     pub extra: f64,
 }
 
-/// The outbound.
+/// Accepts requests of callers and forwards them to backend servers.
 pub struct Outbound {
     pub(crate) host: Arc<str>,
     pub(crate) record: HostRecord,
@@ -105,12 +105,12 @@
     pub(crate) crossing_cost: Duration,
     pub(crate) request_log: RequestLog,
     pub(crate) interface: Arc<dyn CallInterface>,
-    /// Whether only requests that a route takes are served.
+    /// Whether requests without a matching route are refused.
     pub(crate) routes_only: bool,
-    /// Service of the backend server beside this daemon.
+    /// Service of the backend server on this host.
     pub(crate) caller_service: Option<Arc<str>>,
     pub(crate) routes: RwLock<Arc<RouteIndex>>,
-    /// Patience of callers by kind of request. Taken with no other lock.
+    /// Estimates the time since callers first sent a request. Locked while no other lock is held.
     pub(crate) first_asked: Mutex<ElapsedTimeEstimator>,
     pub(crate) key: Option<Secret>,
     pub(crate) fingerprints: FingerprintKey,
@@ -119,11 +119,11 @@
     pub(crate) metrics: Metrics,
 }
 
-/// Result of a call, or of one attempt.
-type Tried = Result<Response<Body>, Refused>;
+/// Result of a call or of one attempt.
+type AttemptResult = Result<Response<Body>, Refused>;
 
 impl Outbound {
-    /// Answers a caller.
+    /// Answers a request of a caller.
     pub async fn answer(self: Arc<Self>, req: Request<Incoming>) -> Response<Body> {
         let started = self.clock.now();
         let held = self.held.get();
@@ -137,8 +137,8 @@
                 if let Some(table) = self.table(&call.service) {
                     table.lock().on_call();
                 }
-                let result = self.carry_out_in_time(&mut call, &held).await;
-                self.settle(&call, &result);
+                let result = self.execute_until_stop(&mut call, &held).await;
+                self.refund_unused(&call, &result);
                 (call.summary(), result)
             }
             Err(refused) => {
@@ -157,8 +157,8 @@
         self.write_answer(summary, id, result)
     }
 
-    /// Gives back the part of the quota of a request that was not run and never will be.
-    fn settle(&self, call: &Call, result: &Tried) {
+    /// Returns the quota charge of a request that did not run.
+    fn refund_unused(&self, call: &Call, result: &AttemptResult) {
         let Err(refused) = result else { return };
         let Some(charge) = call.charge.as_ref() else { return };
         if refused.reason.outcome() == Outcome::NotRun {
@@ -166,15 +166,15 @@
         }
     }
 
-    /// Carries a request out, unless the time of this process is over before that.
-    async fn carry_out_in_time(&self, call: &mut Call, held: &Held) -> Tried {
-        let time_is_over = async {
+    /// Executes a request, unless this process stops first.
+    async fn execute_until_stop(&self, call: &mut Call, held: &Held) -> AttemptResult {
+        let stopped = async {
             self.phases.reached(Phase::Ending).await;
-            tokio::time::sleep(DOORS_FIRST).await;
+            tokio::time::sleep(INBOUND_GRACE).await;
         };
-        let tried = tokio::select! {
-            tried = self.carry_out(call, held) => tried,
-            () = time_is_over => Err(Refused::new(match call.is_under_way() {
+        let result = tokio::select! {
+            result = self.execute(call, held) => result,
+            () = stopped => Err(Refused::new(match call.is_in_flight() {
                 true => Reason::HostEnded,
                 false => Reason::HostLeaving,
             })),
@@ -182,36 +182,36 @@
         if let Some(unread) = call.body.take_stream() {
             replay::discard(unread);
         }
-        tried.map_err(|refused| call.tell(refused))
+        result.map_err(|refused| call.final_refusal(refused))
     }
 
-    async fn carry_out(&self, call: &mut Call, held: &Held) -> Tried {
+    async fn execute(&self, call: &mut Call, held: &Held) -> AttemptResult {
         match call.key.clone() {
             Some(key) => self.run_once(call, key, held).await,
             None => self.run(call, held).await,
         }
     }
 
-    /// Tries backend servers until one answers or no further attempt is allowed.
-    async fn run(&self, call: &mut Call, held: &Held) -> Tried {
-        call.on_trial = self.draws_trial(call);
+    /// Makes attempts until a backend server answers or no retry is allowed.
+    async fn run(&self, call: &mut Call, held: &Held) -> AttemptResult {
+        call.try_canary = self.draws_canary(call);
         loop {
             call.check_key(&self.routes())?;
             self.check_suspect(call)?;
             let server = match self.choose_next(call)? {
-                Next::Server(server) => server,
-                Next::Later(wait) => {
+                Choice::Server(server) => server,
+                Choice::Wait(wait) => {
                     tokio::time::sleep(wait).await;
                     continue;
                 }
             };
             let selective = call.is_selective();
-            let tried = self.attempt_hedged(call, held, &server).await;
-            let busy = matches!(&tried, Err(refused) if refused.reason == Reason::BusyNow);
+            let result = self.attempt_hedged(call, held, &server).await;
+            let busy = matches!(&result, Err(refused) if refused.reason == Reason::BusyNow);
             if selective && !busy {
                 call.tried.push(server.name.clone());
             }
-            match tried {
+            match result {
                 Ok(res) => return Ok(res),
                 Err(refused) if refused.reason == Reason::BusyNow && call.is_selective() => {
                     if !call.stays_nearby(self.clock.now()) {
@@ -219,16 +219,16 @@
                         call.busy.push(server.name.clone());
                     }
                 }
-                Err(refused) => self.weigh_retry(call, refused)?,
+                Err(refused) => self.decide_retry(call, refused)?,
             }
         }
     }
 
-    pub(crate) fn table(&self, service: &str) -> Option<Arc<Mutex<Choosing>>> {
+    pub(crate) fn table(&self, service: &str) -> Option<Arc<Mutex<ServiceBalancer>>> {
         self.tables.read().get(service).cloned()
     }
 
-    /// Returns the routes in force, with the workspaces.
+    /// Returns the current routes and workspaces.
     pub(crate) fn routes(&self) -> Arc<RouteIndex> {
         self.routes.read().clone()
     }
@@ -237,7 +237,7 @@
         &self,
         summary: RequestSummary,
         id: Option<String>,
-        result: Tried,
+        result: AttemptResult,
     ) -> Response<Body> {
         let (mut res, outcome) = match result {
             Ok(mut res) => {
@@ -255,21 +255,22 @@
         let RequestSummary { service, kind, .. } = summary;
         let labels = CallLabels { service, kind, outcome: outcome.as_str() };
         self.metrics.calls.get_or_create(&labels).inc();
-        // A caller on a kept connection learns that it should go to another host.
+        // Makes a caller with a persistent connection move to another host.
         if self.phases.now() != Phase::Serving {
             headers::set_static(res.headers_mut(), header::CONNECTION, "close");
         }
         res
     }
 
-    /// Returns the time that may be spent on the ledger before a request is refused.
-    fn patience(&self, call: &Call) -> Duration {
+    /// Returns the longest wait for the ledger before a request is refused.
+    fn ledger_timeout(&self, call: &Call) -> Duration {
         let remaining = call.deadline.remaining(self.clock.now()).unwrap_or_default();
-        remaining.min(LEDGER_PATIENCE)
+        remaining.min(MAX_LEDGER_WAIT)
     }
 }
 
-/// Time at the end of a stop for the doors of this host: they know which requests were not run.
-const DOORS_FIRST: Duration = Duration::from_millis(20);
-/// Longest wait for the ledger: an election is over by then.
-const LEDGER_PATIENCE: Duration = Duration::from_secs(3);
+/// Additional time at the end of a stop, in which the inbound can report which requests did not
+/// run.
+const INBOUND_GRACE: Duration = Duration::from_millis(20);
+/// Longest wait for the ledger. Covers an election.
+const MAX_LEDGER_WAIT: Duration = Duration::from_secs(3);
--- a/crates/cherrystream-daemon/src/outbound/regions.rs
+++ b/crates/cherrystream-daemon/src/outbound/regions.rs
@@ -7,12 +7,12 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The regions in which a request may be served; all of them where nothing is stated.
+/// Regions in which a request may be served; `None` allows all.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Regions(Option<Arc<BTreeSet<String>>>);
 
 impl Regions {
-    /// Returns those that the route and the workspace of a request both allow. One that states none allows all.
+    /// Returns the regions allowed by both the route and the workspace. An empty list allows all.
     pub(super) fn allowed(route: &[String], workspace: &[String]) -> Regions {
         let allowed: BTreeSet<String> = match (route, workspace) {
             ([], []) => return Regions(None),
@@ -24,22 +24,22 @@
         Regions(Some(Arc::new(allowed)))
     }
 
-    fn bar(&self, shared: &Shared, server: &ServerId) -> bool {
+    fn disallows(&self, shared: &Shared, server: &ServerId) -> bool {
         let Some(allowed) = &self.0 else { return false };
-        // Of a host that is not registered the region is not known, so it may be a wrong one.
+        // The region of an unregistered host is unknown, so it is not allowed.
         let host = shared.hosts.get(&*server.host);
         host.is_none_or(|host| !allowed.contains(&host.region))
     }
 }
 
 impl Outbound {
-    /// Returns the backend servers of a table at which a request may not be served.
-    pub(super) fn barred(&self, call: &Call, table: &Table) -> Vec<Arc<str>> {
+    /// Returns the backend servers that are outside the allowed regions of a request.
+    pub(super) fn disallowed_servers(&self, call: &Call, table: &Table) -> Vec<Arc<str>> {
         if call.regions.0.is_none() {
             return Vec::new();
         }
         let shared = self.held.get().shared;
-        let barred = table.ids().filter(|server| call.regions.bar(&shared, server));
-        barred.map(|server| server.name.clone()).collect()
+        let disallowed = table.ids().filter(|server| call.regions.disallows(&shared, server));
+        disallowed.map(|server| server.name.clone()).collect()
     }
 }
--- a/crates/cherrystream-daemon/src/outbound/replay.rs
+++ b/crates/cherrystream-daemon/src/outbound/replay.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests, which may have to be sent again.
+//! Request bodies that may have to be sent again.
 
 use crate::refusal::Refused;
 use bytes::Bytes;
@@ -8,35 +8,35 @@
 use http_body_util::BodyExt;
 use std::time::Duration;
 
-/// Bodies up to this size are held whole, so that the request can be sent again.
-pub(super) const HELD_BYTES: usize = 64 * 1024;
-/// Bodies above this size travel only to a backend server that has kept a slot for them.
-const RESERVED_FROM_BYTES: usize = 1024;
-/// Bytes of an unneeded body that are read at most.
-const DISCARDED_BYTES: usize = 16 * 1024 * 1024;
-/// Longest time for which an unneeded body is read.
-const DISCARD_TIME: Duration = Duration::from_secs(5);
+/// Largest body that is buffered, so that the request can be sent again.
+pub(super) const MAX_BUFFERED_BYTES: usize = 64 * 1024;
+/// Largest body that is sent without a reserved slot.
+const MAX_UNRESERVED_BYTES: usize = 1024;
+/// Largest number of bytes read from a discarded body.
+const MAX_DISCARDED_BYTES: usize = 16 * 1024 * 1024;
+/// Longest time spent reading a discarded body.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A body that may have to be sent again.
+/// A request body.
 pub(super) enum Replay {
-    /// It is held and can be sent as often as needed.
+    /// Buffered; can be sent any number of times.
     Whole(Bytes),
-    /// It comes from the caller's connection and can be sent once.
+    /// Streamed from the caller's connection; can be sent once.
     Stream(Option<Body>),
 }
 
 impl Replay {
-    /// Reads a body; one of up to `limit` bytes is held.
+    /// Reads a body; buffers it if it has at most `limit` bytes.
     ///
     /// # Errors
     ///
-    /// Fails when the body breaks off, or is not there within a time.
+    /// Fails if the body is incomplete, or not read within the timeout.
     pub(super) async fn read(
         incoming: Body,
         limit: usize,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Replay, Refused> {
-        match tokio::time::timeout(within, body::read_start(incoming, limit)).await {
+        match tokio::time::timeout(timeout, body::read_start(incoming, limit)).await {
             Ok(Ok(Start::Whole(bytes))) => Ok(Replay::Whole(bytes)),
             Ok(Ok(Start::Longer(body))) => Ok(Replay::Stream(Some(body))),
             Ok(Err(_)) => Err(Refused::new(Reason::BadRequest)),
@@ -44,22 +44,23 @@
         }
     }
 
-    /// Returns the beginning of the body, and its length where that is known; a body that is not held is read that far.
+    /// Returns the first `limit` bytes of the body, and its length if known. Reads that many bytes
+    /// of a streamed body.
     ///
     /// # Errors
     ///
-    /// Fails when the body breaks off, or its beginning is not there within a time.
-    pub(super) async fn beginning(
+    /// Fails if the body is incomplete, or its prefix is not read within the timeout.
+    pub(super) async fn prefix(
         &mut self,
         limit: usize,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<(Bytes, Option<u64>), Refused> {
         let body = match self {
             Replay::Whole(bytes) => return Ok((bytes.clone(), Some(bytes.len() as u64))),
             Replay::Stream(body) => body.take().unwrap_or_else(body::empty),
         };
         let length = body.size_hint().exact();
-        match tokio::time::timeout(within, body::read_prefix(body, limit)).await {
+        match tokio::time::timeout(timeout, body::read_prefix(body, limit)).await {
             Ok(Ok((prefix, body))) => {
                 *self = Replay::Stream(Some(body));
                 Ok((prefix, length))
@@ -73,25 +74,25 @@
         !matches!(self, Replay::Stream(None))
     }
 
-    /// Returns whether a slot is asked for before the body is sent: it is long, or can be sent once
-    /// only and must not be used up by an offer.
-    pub(super) fn asks_first(&self) -> bool {
+    /// Returns whether a slot is reserved before the body is sent: the body is long, or can be sent
+    /// only once and must not be consumed by a refused offer.
+    pub(super) fn needs_reservation(&self) -> bool {
         match self {
-            Replay::Whole(bytes) => bytes.len() > RESERVED_FROM_BYTES,
+            Replay::Whole(bytes) => bytes.len() > MAX_UNRESERVED_BYTES,
             Replay::Stream(body) => body.is_some(),
         }
     }
 
-    /// Returns the bytes that will travel, at least.
-    pub(super) fn bytes(&self) -> usize {
+    /// Returns a lower bound of the length of the body.
+    pub(super) fn min_bytes(&self) -> usize {
         match self {
             Replay::Whole(bytes) => bytes.len(),
-            Replay::Stream(Some(_)) => HELD_BYTES,
+            Replay::Stream(Some(_)) => MAX_BUFFERED_BYTES,
             Replay::Stream(None) => 0,
         }
     }
 
-    /// Takes a body that can be sent once only, if nobody has.
+    /// Takes the body if it is streamed and has not been taken.
     pub(super) fn take_stream(&mut self) -> Option<Body> {
         match self {
             Replay::Whole(_) => None,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Returns the body, once more if it is held.
+    /// Returns the body; a buffered one can be taken again.
     pub(super) fn take(&mut self) -> Option<Body> {
         match self {
             Replay::Whole(bytes) => Some(body::full(bytes.clone())),
@@ -108,11 +109,11 @@
     }
 }
 
-/// Reads the rest of a body that nobody needs, up to a limit: a caller that is still sending
-/// would otherwise find its connection reset before it has read the answer.
+/// Reads and discards the rest of a body, up to a limit. Otherwise a caller that is still sending
+/// could find its connection reset before it has read the response.
 pub(super) fn discard(mut body: Body) {
-    tokio::spawn(tokio::time::timeout(DISCARD_TIME, async move {
-        let mut left = DISCARDED_BYTES;
+    tokio::spawn(tokio::time::timeout(DISCARD_TIMEOUT, async move {
+        let mut left = MAX_DISCARDED_BYTES;
         while let Some(Ok(frame)) = body.frame().await {
             left = left.saturating_sub(frame.data_ref().map_or(0, Bytes::len));
             if left == 0 {
--- a/crates/cherrystream-daemon/src/outbound/request.rs
+++ b/crates/cherrystream-daemon/src/outbound/request.rs
@@ -1,9 +1,9 @@
 //! Reads a caller's request.
 
 use super::Outbound;
-use super::aim::{self, Aim, Aimed};
+use super::destination::{self, Destination, ParsedHead};
 use super::regions::Regions;
-use super::replay::{self, HELD_BYTES, Replay};
+use super::replay::{self, MAX_BUFFERED_BYTES, Replay};
 use crate::headers;
 use crate::held::Held;
 use crate::refusal::Refused;
@@ -27,19 +27,19 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Largest body of a request that may not be repeated: it is held until the claim is recorded.
-const ONCE_BYTES: usize = 1024 * 1024;
-/// Backend servers that a request is offered to before it takes what it gets.
-const SELECTIVE_OFFERS: u32 = 4;
+/// Largest body of a non-repeatable request, which is buffered until its claim is recorded.
+const MAX_KEYED_BODY_BYTES: usize = 1024 * 1024;
+/// Number of backend servers that may refuse a request as busy before it queues.
+const MAX_SELECTIVE_OFFERS: u32 = 4;
 
-/// A request as it arrived, with what its caller says.
+/// A request as received.
 pub(super) struct Arrived {
     pub(super) head: request::Parts,
     pub(super) caller: Result<CallerHead, Reason>,
     pub(super) body: Body,
 }
 
-/// A request on its way.
+/// A request being processed.
 pub(super) struct Call {
     pub(super) id: String,
     pub(super) service: Arc<str>,
@@ -50,74 +50,76 @@
     pub(super) uri: Uri,
     pub(super) headers: HeaderMap,
     pub(super) body: Replay,
-    /// Key of a request that may not be repeated.
+    /// Idempotency key of a non-repeatable request.
     pub(super) key: Option<Arc<str>>,
-    /// Names of the backend servers tried.
+    /// Names of the backend servers that were tried.
     pub(super) tried: Vec<Arc<str>>,
-    /// Names of those that turned the request down for being busy.
+    /// Names of the backend servers that refused the request as busy.
     pub(super) busy: Vec<Arc<str>>,
-    /// Attempts that have failed.
+    /// Number of failed attempts.
     pub(super) attempts: u32,
-    /// Backend servers that the request has reached.
+    /// Number of backend servers that the request has reached.
     pub(super) arrivals: u32,
-    /// Backend servers that it may reach at most.
-    pub(super) arrivals_at_most: u32,
-    /// Attempts that are on their way to a backend server, those of a fork included.
-    pub(super) under_way: Arc<AtomicUsize>,
-    /// Why an attempt ended of which it cannot be told whether it ran.
-    pub(super) broke: Option<Reason>,
-    /// Offers to backend servers that may still turn it down for being busy.
+    /// Largest number of backend servers that it may reach.
+    pub(super) max_arrivals: u32,
+    /// Number of attempts in flight, including hedged ones.
+    pub(super) in_flight: Arc<AtomicUsize>,
+    /// Failure of an attempt that may have run.
+    pub(super) unknown_outcome: Option<Reason>,
+    /// Remaining offers that backend servers may refuse as busy.
     pub(super) selective_offers: u32,
-    /// Its times, where a route tells in which time an answer is wanted.
+    /// Time limits, if its route has a target latency.
     pub(super) times: Option<RequestTimes>,
-    /// Workspace that it belongs to, with its key.
+    /// Workspace of the request and the key that identified it.
     pub(super) member: Option<Member>,
-    /// Its part of the quota of its workspace. A second attempt beside it has none: both are one request.
+    /// Charge to the quota of its workspace. A hedged attempt has none, as it belongs to the same
+    /// request.
     pub(super) charge: Option<Charge>,
-    /// What makes it the same request when it comes again.
+    /// Identity of the request, the same for each repetition of it.
     pub(super) identity: Identity,
-    /// Whether it runs alone.
+    /// Whether it runs in isolation, as a suspect request.
     pub(super) alone: bool,
-    /// Whether it is to be offered to the version under trial.
-    pub(super) on_trial: bool,
+    /// Whether it is offered to the canary first.
+    pub(super) try_canary: bool,
     /// Regions in which it may be served.
     pub(super) regions: Regions,
 }
 
-/// A request's membership in a workspace.
+/// Workspace of a request.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub(super) workspace: Arc<NamedWorkspace>,
     pub(super) key: ApiKey,
-    /// Whether the request was let in for its key only.
-    pub(super) needed: bool,
-    /// Routes and workspaces by which it was last checked.
-    pub(super) checked: Arc<RouteIndex>,
+    /// Whether the request would have been refused without its key.
+    pub(super) key_required: bool,
+    /// Routes and workspaces against which the key was last checked.
+    pub(super) checked_against: Arc<RouteIndex>,
 }
 
 impl Call {
-    /// Notes that the request runs alone: there is one backend server for it, which it takes as it is.
+    /// Makes the request run in isolation: on one given backend server, where it queues if
+    /// necessary.
     pub(super) fn run_alone(&mut self) {
         self.alone = true;
         self.selective_offers = 0;
     }
 
-    /// Returns whether the request is let in only where it is served well.
+    /// Returns whether backend servers may refuse the request as busy.
     pub(super) fn is_selective(&self) -> bool {
         self.selective_offers > 0
     }
 
-    /// Returns whether it stays in its own failure domain for now.
+    /// Returns whether the request stays in its own failure domain for now.
     pub(super) fn stays_nearby(&self, now: Timestamp) -> bool {
         self.is_selective() && self.times.is_some_and(|times| times.stays_in_own_domain(now))
     }
 
-    /// Returns the request once more, for a second attempt while the first one runs.
+    /// Returns a copy of the request for a hedged attempt.
     pub(super) fn fork_for_hedge(&self) -> Option<Call> {
         let times = self.times.filter(|times| times.hedge_after.is_some())?;
         let Replay::Whole(bytes) = &self.body else { return None };
-        // A request that has failed before has its retries for that.
-        if self.arrivals > 0 || self.arrivals_at_most < 2 {
+        // After a failure the request is retried instead.
+        if self.arrivals > 0 || self.max_arrivals < 2 {
             return None;
         }
         Some(Call {
@@ -135,61 +137,63 @@
             busy: Vec::new(),
             attempts: 0,
             arrivals: 0,
-            arrivals_at_most: 1,
-            under_way: self.under_way.clone(),
-            broke: None,
+            max_arrivals: 1,
+            in_flight: self.in_flight.clone(),
+            unknown_outcome: None,
             selective_offers: 1,
             times: Some(RequestTimes { own_domain_until: None, ..times }),
             member: self.member.clone(),
             charge: None,
             identity: self.identity,
             alone: self.alone,
-            on_trial: false,
+            try_canary: false,
             regions: self.regions.clone(),
         })
     }
 
-    /// Returns the name of its workspace.
+    /// Returns the name of the workspace.
     pub(super) fn workspace_name(&self) -> Option<&Arc<str>> {
         self.member.as_ref().map(|member| &member.workspace.name)
     }
 
-    /// Checks that no later revision has taken its key away: it may have waited since it was read. One that needs no key
-    /// then belongs to no workspace.
+    /// Checks that the workspace key is still valid, as the request may have waited since the last
+    /// check. If the key is not required, a request with an invalid key continues without a
+    /// workspace.
     ///
     /// # Errors
     ///
-    /// Fails when it needs its key, and no workspace holds that any more.
+    /// Fails if the key is required and no longer valid.
     pub(super) fn check_key(&mut self, routes: &Arc<RouteIndex>) -> Result<(), Refused> {
         let Some(member) = &mut self.member else { return Ok(()) };
-        if Arc::ptr_eq(&member.checked, routes) {
+        if Arc::ptr_eq(&member.checked_against, routes) {
             return Ok(());
         }
         match routes.workspaces().workspace_for_key(&member.key) {
             Some(holder) => {
                 member.workspace = holder.clone();
-                member.checked = routes.clone();
+                member.checked_against = routes.clone();
             }
-            None if member.needed => return Err(Refused::new(Reason::UnknownKey)),
+            None if member.key_required => return Err(Refused::new(Reason::UnknownKey)),
             None => self.member = None,
         }
         Ok(())
     }
 
-    /// Returns whether an attempt is on its way to a backend server.
-    pub(super) fn is_under_way(&self) -> bool {
-        self.under_way.load(Ordering::Relaxed) > 0
+    /// Returns whether an attempt is in flight.
+    pub(super) fn is_in_flight(&self) -> bool {
+        self.in_flight.load(Ordering::Relaxed) > 0
     }
 
-    /// Returns what its caller is told: that it was not run, only when that holds for all attempts.
-    pub(super) fn tell(&self, refused: Refused) -> Refused {
-        match self.broke.filter(|_| refused.reason.outcome() == Outcome::NotRun) {
+    /// Returns the refusal reported to the caller. It states that the request did not run only if
+    /// no attempt may have run.
+    pub(super) fn final_refusal(&self, refused: Refused) -> Refused {
+        match self.unknown_outcome.filter(|_| refused.reason.outcome() == Outcome::NotRun) {
             Some(reason) => Refused { reason, ..refused },
             None => refused,
         }
     }
 
-    /// Returns what the log tells of the request.
+    /// Returns the summary for the request log.
     pub(super) fn summary(&self) -> RequestSummary {
         RequestSummary {
             id: self.id.clone(),
@@ -197,7 +201,7 @@
             service: self.service.to_string(),
             workspace: self.workspace_name().cloned(),
             key: None,
-            mark: Some(self.identity.request),
+            fingerprint: Some(self.identity.request),
             busy: self.busy.clone(),
             tried: self.tried.clone(),
             attempts: self.attempts,
@@ -205,7 +209,8 @@
         }
     }
 
-    /// Returns a hash of what makes two requests with one key the same: one workspace gets no answer of another's.
+    /// Returns a hash by which requests with the same idempotency key are compared. Includes the
+    /// workspace, so that no workspace receives a response of another one.
     pub(super) fn fingerprint(&self) -> u64 {
         let mut hasher = SipHasher13::new();
         if let Some(workspace) = self.workspace_name() {
@@ -227,16 +232,16 @@
     arrived: Arrived,
 ) -> Result<Call, Refused> {
     let Arrived { head: parts, caller, body } = arrived;
-    let aimed = match aim::aim(outbound, held, &parts, caller) {
-        Ok(aimed) => aimed,
+    let parsed = match destination::read_head(outbound, held, &parts, caller) {
+        Ok(parsed) => parsed,
         Err(refused) => {
-            // Requests may wait behind it on the connection.
+            // Further requests may follow on the same connection.
             replay::discard(body);
             return Err(refused);
         }
     };
-    let Aimed { head, aim, key, uri } = aimed;
-    let Aim { service, treatment, route, member, strips_key } = aim;
+    let ParsedHead { head, destination, key, uri } = parsed;
+    let Destination { service, treatment, route, member, strips_key } = destination;
     let deadline = Deadline::new(outbound.clock.now(), head.time_left, treatment.deadline);
     let remaining = deadline.remaining(outbound.clock.now()).unwrap_or_default();
     let charging = charge(outbound, member.as_ref(), head.id.as_deref());
@@ -250,40 +255,42 @@
     };
     let now = outbound.clock.now();
     let carried = headers::parsed(&parts.headers, &headers::ALLOWANCE);
-    let limit = if key.is_some() { ONCE_BYTES } else { HELD_BYTES };
+    let limit = if key.is_some() { MAX_KEYED_BODY_BYTES } else { MAX_BUFFERED_BYTES };
     let remaining = deadline.remaining(now).unwrap_or_default();
     let give_back =
         |_: &Refused| charge.iter().for_each(|charge| outbound.quotas.give_back(charge));
     let mut body = read_body(body, limit, remaining, key.is_some()).await.inspect_err(give_back)?;
     let remaining = deadline.remaining(outbound.clock.now()).unwrap_or_default();
-    let beginning = body.beginning(identity::BODY_BYTES, remaining).await;
-    let (beginning, body_length) = beginning.inspect_err(give_back)?;
+    let prefix = body.prefix(identity::BODY_BYTES, remaining).await;
+    let (prefix, body_length) = prefix.inspect_err(give_back)?;
     let identity = identity::Parts {
         workspace: member.as_ref().map(|member| &*member.workspace.name),
         service: outbound.caller_service.as_deref(),
         method: parts.method.as_str(),
-        host: aim::host_name(&parts).unwrap_or_default(),
+        host: destination::host_name(&parts).unwrap_or_default(),
         target: uri.path_and_query().map_or("/", |target| target.as_str()),
-        body: &beginning,
+        body: &prefix,
         body_length,
     }
     .identity(&outbound.fingerprints);
-    // An answer is in time by the clock of the caller, which may have asked before.
-    let elapsed = first_asked(outbound, &treatment, head.time_left);
+    // The target latency counts from when the caller first sent the request.
+    let elapsed = estimate_elapsed(outbound, &treatment, head.time_left);
     let times = route.as_ref().map(|named| {
         RequestTimes::new(TimeInputs {
             now,
             target: Duration::from_micros(named.route.target_us),
             elapsed,
             repeatable: named.route.repeatable,
-            body_bytes: body.bytes(),
+            body_bytes: body.min_bytes(),
             crossing_cost: outbound.crossing_cost,
         })
     });
-    let of_route = route.as_ref().map(|named| named.route.allowed_regions.as_slice());
-    let of_workspace = member.as_ref().map(|member| member.workspace.allowed_regions.as_slice());
-    let regions = Regions::allowed(of_route.unwrap_or_default(), of_workspace.unwrap_or_default());
-    let selective_offers = if route.is_some() { SELECTIVE_OFFERS } else { 0 };
+    let route_regions = route.as_ref().map(|named| named.route.allowed_regions.as_slice());
+    let workspace_regions =
+        member.as_ref().map(|member| member.workspace.allowed_regions.as_slice());
+    let regions =
+        Regions::allowed(route_regions.unwrap_or_default(), workspace_regions.unwrap_or_default());
+    let selective_offers = if route.is_some() { MAX_SELECTIVE_OFFERS } else { 0 };
     Ok(Call {
         id: head.id.unwrap_or_else(|| format!("{:016x}", rand::random::<u64>())),
         service,
@@ -299,21 +306,21 @@
         busy: Vec::new(),
         attempts: 0,
         arrivals: 0,
-        under_way: Arc::default(),
-        broke: None,
+        in_flight: Arc::default(),
+        unknown_outcome: None,
         selective_offers,
-        arrivals_at_most: route.as_ref().map_or(u32::MAX, |r| r.route.attempts_at_most),
+        max_arrivals: route.as_ref().map_or(u32::MAX, |r| r.route.attempts_at_most),
         times,
         member,
         charge,
         identity,
         alone: false,
-        on_trial: false,
+        try_canary: false,
         regions,
     })
 }
 
-/// Takes a request's part of the quota of its workspace, before anything is sent.
+/// Charges a request to the quota of its workspace before anything is sent.
 async fn charge(
     outbound: &Outbound,
     member: Option<&Member>,
@@ -340,8 +347,8 @@
     }
 }
 
-/// Returns how long ago the caller first asked, as far as that can be told.
-fn first_asked(
+/// Returns the estimated time since the caller first sent the request.
+fn estimate_elapsed(
     outbound: &Outbound,
     treatment: &Treatment,
     time_left: Option<Duration>,
@@ -351,7 +358,7 @@
     outbound.first_asked.lock().on_request(outbound.clock.now(), &kind, left)
 }
 
-/// Returns the headers that are passed on.
+/// Returns the headers to forward.
 fn clean_headers(outbound: &Outbound, parts: request::Parts, strips_key: bool) -> HeaderMap {
     let mut map = parts.headers;
     headers::remove_hop_by_hop(&mut map);
--- a/crates/cherrystream-daemon/src/outbound/retrying.rs
+++ b/crates/cherrystream-daemon/src/outbound/retrying.rs
@@ -1,4 +1,4 @@
-//! Whether a request is sent, and sent again.
+//! Decides whether a request is sent or retried.
 
 use super::Outbound;
 use super::request::Call;
@@ -10,7 +10,8 @@
 use cherrystream_net::serve::Phase;
 
 impl Outbound {
-    /// Decides on a request by what is known of it: each attempt may end one more backend server.
+    /// Checks whether the request is suspect. Refuses it if it is quarantined, as each attempt
+    /// could crash a backend server.
     pub(super) fn check_suspect(&self, call: &mut Call) -> Result<(), Refused> {
         match self.suspects.judge(call.identity.request) {
             Treatment::Clear | Treatment::Watched => {}
@@ -22,9 +23,9 @@
         Ok(())
     }
 
-    /// Returns when another attempt may be made; fails with the final refusal.
-    pub(super) fn weigh_retry(&self, call: &mut Call, refused: Refused) -> Result<(), Refused> {
-        // The door knows more of the request than this daemon: there is one backend server for it.
+    /// Returns `Ok` if the request may be retried, or else the final refusal.
+    pub(super) fn decide_retry(&self, call: &mut Call, refused: Refused) -> Result<(), Refused> {
+        // The inbound has a newer status of the suspect request: isolates it.
         if refused.reason == Reason::RunsAlone && !call.alone {
             call.run_alone();
             return Ok(());
@@ -32,7 +33,7 @@
         call.attempts += 1;
         call.arrivals += u32::from(refused.reason.reached_server());
         if refused.reason.outcome() == Outcome::Unknown {
-            call.broke.get_or_insert(refused.reason);
+            call.unknown_outcome.get_or_insert(refused.reason);
         }
         let may_have_ended_one = call.alone && refused.reason.outcome() == Outcome::Unknown;
         if may_have_ended_one || self.phases.now() == Phase::Ending {
@@ -44,7 +45,7 @@
             repeatable: call.treatment.repeatable,
             replayable: call.body.is_replayable(),
             arrivals: call.arrivals,
-            arrivals_at_most: call.arrivals_at_most,
+            arrivals_at_most: call.max_arrivals,
         };
         let label = metrics::label(refused.reason);
         let may = self.table(&call.service).is_some_and(|table| {
--- a/crates/cherrystream-daemon/src/outbound/send.rs
+++ b/crates/cherrystream-daemon/src/outbound/send.rs
@@ -1,7 +1,7 @@
-//! One attempt: the hop to the inbound beside the chosen backend server.
+//! A single attempt: sends a request to the inbound of the chosen backend server.
 
 use super::request::Call;
-use super::{Outbound, Tried};
+use super::{AttemptResult, Outbound};
 use crate::headers::{self, Op};
 use crate::held::Held;
 use crate::hop;
@@ -21,30 +21,30 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Time beyond the deadline that an inbound has to tell that the deadline passed.
-const LAST_WORD: Duration = Duration::from_millis(50);
+/// Time beyond the deadline in which an inbound can report that the deadline has passed.
+const DEADLINE_GRACE: Duration = Duration::from_millis(50);
 
-/// What a call was given before it is sent.
+/// Claim and reservation obtained before a call is sent.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Admitted {
-    /// Claim on its key, if it may not be repeated.
+pub(super) struct Permits {
+    /// Claim on the idempotency key of a non-repeatable request.
     pub(super) claimed: Option<Claimed>,
-    /// Slot that is kept for it, if it asked for one.
+    /// Slot reserved for the call, if it needed one.
     pub(super) reservation: Option<Reservation>,
 }
 
 impl Outbound {
-    /// Sends a call to a backend server, once.
+    /// Makes one attempt at a backend server and records its result.
     pub(super) async fn attempt(
         &self,
         call: &mut Call,
         held: &Held,
         server: &ServerId,
         claimed: Option<Claimed>,
-    ) -> Tried {
+    ) -> AttemptResult {
         let started = self.clock.now();
-        let patience = self.wait_left(call);
-        let _flight = Flight::start(self, call, server);
+        let max_wait = self.remaining_wait(call);
+        let _flight = InFlightGuard::start(self, call, server);
         let result = self.attempt_within(call, held, server, claimed).await;
         let took = self.clock.now().since(started);
         self.with_server(call, server, |s, now| match &result {
@@ -54,12 +54,12 @@
             Err(refused) if refused.reason == Reason::BusyNow => {
                 s.on_busy(now, &call.treatment.kind, refused.retry_after);
             }
-            Err(refused) if is_queue(refused.reason) => {
-                // What is ahead in the queue must shrink to what the request can wait.
-                let lasts = refused.retry_after.saturating_sub(patience);
-                s.on_full(now, &call.treatment.kind, lasts);
+            Err(refused) if is_queue_refusal(refused.reason) => {
+                // The queue must drain until its wait is within the wait of this request.
+                let busy_for = refused.retry_after.saturating_sub(max_wait);
+                s.on_full(now, &call.treatment.kind, busy_for);
             }
-            Err(refused) if is_closed(refused.reason) => s.on_closed(now),
+            Err(refused) if is_unavailable(refused.reason) => s.on_closed(now),
             Err(_) => {}
         });
         result
@@ -71,39 +71,44 @@
         held: &Held,
         server: &ServerId,
         claimed: Option<Claimed>,
-    ) -> Tried {
+    ) -> AttemptResult {
         let Some(remaining) = call.deadline.remaining(self.clock.now()) else {
             return Err(Refused::new(Reason::DeadlineBeforeStart));
         };
-        let asks_first = call.body.asks_first() || self.must_prove(call, server);
-        let reservation = match claimed.is_none() && asks_first {
+        let needs_reservation = call.body.needs_reservation() || self.must_reserve(call, server);
+        let reservation = match claimed.is_none() && needs_reservation {
             true => Some(self.reserve(call, held, server).await?),
             false => None,
         };
         if reservation.is_some() {
-            // It may have waited for the slot.
+            // The key may have been revoked during the wait for the slot.
             call.check_key(&self.routes())?;
         }
-        let admitted = Admitted { claimed, reservation };
-        call.under_way.fetch_add(1, Ordering::Relaxed);
+        let permits = Permits { claimed, reservation };
+        call.in_flight.fetch_add(1, Ordering::Relaxed);
         let attempt = async {
             let res = if *server.host == *self.host {
-                self.send_here(call, server, admitted).await?
+                self.send_local(call, server, permits).await?
             } else {
-                self.send_there(call, held, server, admitted).await?
+                self.send_remote(call, held, server, permits).await?
             };
-            hold_if_short(res).await
+            buffer_if_short(res).await
         };
-        let result = tokio::time::timeout(remaining + LAST_WORD, attempt).await;
-        // One that is dropped before this stays under way: nobody knows what became of it.
-        call.under_way.fetch_sub(1, Ordering::Relaxed);
+        let result = tokio::time::timeout(remaining + DEADLINE_GRACE, attempt).await;
+        // An attempt dropped before this point remains in flight, as its outcome is unknown.
+        call.in_flight.fetch_sub(1, Ordering::Relaxed);
         result.unwrap_or(Err(Refused::new(Reason::DeadlinePassed)))
     }
 
-    async fn send_here(&self, call: &mut Call, server: &ServerId, admitted: Admitted) -> Tried {
-        let mut req = self.request(call)?;
+    async fn send_local(
+        &self,
+        call: &mut Call,
+        server: &ServerId,
+        permits: Permits,
+    ) -> AttemptResult {
+        let mut req = self.build_request(call)?;
         headers::set(req.headers_mut(), headers::ALLOWANCE, call.allowance.left());
-        let answer = self.inbound.call(self.inbound_call(call, server, admitted, req)).await;
+        let answer = self.inbound.call(self.inbound_call(call, server, permits, req)).await;
         if let Some(report) = answer.report {
             self.with_server(call, server, |s, now| s.on_report(now, report));
         }
@@ -115,10 +120,10 @@
         &self,
         call: &Call,
         server: &ServerId,
-        admitted: Admitted,
+        permits: Permits,
         req: Request<Body>,
     ) -> InboundCall {
-        let claimed = admitted.claimed.zip(request_key(call));
+        let claimed = permits.claimed.zip(request_key(call));
         InboundCall {
             service: call.service.clone(),
             server: server.name.clone(),
@@ -127,10 +132,10 @@
             workspace: call.workspace_name().cloned(),
             weight: call.treatment.weight,
             deadline: call.deadline,
-            wait_at_most: self.wait_left(call),
+            wait_at_most: self.remaining_wait(call),
             selective: call.is_selective(),
-            good_for: self.good_for(call),
-            reservation: admitted.reservation,
+            good_for: self.time_to_target(call),
+            reservation: permits.reservation,
             identity: call.identity,
             alone: call.alone,
             call: call.id.clone(),
@@ -139,21 +144,21 @@
         }
     }
 
-    async fn send_there(
+    async fn send_remote(
         &self,
         call: &mut Call,
         held: &Held,
         server: &ServerId,
-        admitted: Admitted,
-    ) -> Tried {
+        permits: Permits,
+    ) -> AttemptResult {
         let Some(record) = held.shared.hosts.get(&*server.host) else {
             return Err(Refused::new(Reason::PeerUnreachable));
         };
-        let mut req = self.request(call)?;
-        self.set_peer_headers(req.headers_mut(), Op::Call, call, server, admitted);
+        let mut req = self.build_request(call)?;
+        self.set_peer_headers(req.headers_mut(), Op::Call, call, server, permits);
         *req.uri_mut() = peer_target(call, &record.peer_address)?;
         *req.version_mut() = http::Version::HTTP_2;
-        let line = self.line_to(call, &record.peer_address).await?;
+        let line = self.connect(call, &record.peer_address).await?;
         self.metrics.peer_calls.inc();
         let res = line.send(req).await.map_err(|e| {
             Refused::new(match e {
@@ -164,9 +169,9 @@
         self.read_answer(call, server, &record.peer_address, res)
     }
 
-    /// Returns a connection to a peer. Nothing of the request is sent meanwhile, so a deadline that passes is proof that
-    /// it was not run.
-    async fn line_to(&self, call: &Call, address: &str) -> Result<Line, Refused> {
+    /// Returns a connection to a peer. Nothing of the request is sent meanwhile, so it has provably
+    /// not run if the deadline passes.
+    async fn connect(&self, call: &Call, address: &str) -> Result<Line, Refused> {
         let remaining = call.deadline.remaining(self.clock.now()).unwrap_or_default();
         match tokio::time::timeout(remaining, self.peers.line(address)).await {
             Ok(line) => line.ok_or(Refused::new(Reason::PeerUnreachable)),
@@ -174,20 +179,20 @@
         }
     }
 
-    /// Returns the time that the request may still wait for a slot.
-    pub(super) fn wait_left(&self, call: &Call) -> Duration {
+    /// Returns the remaining time that the request may wait for a slot.
+    pub(super) fn remaining_wait(&self, call: &Call) -> Duration {
         let now = self.clock.now();
         let remaining = call.deadline.remaining(now).unwrap_or_default();
-        let patience = call.times.map(|times| times.queue_until.since(now));
-        patience.map_or(remaining, |patience| patience.min(remaining))
+        let max_wait = call.times.map(|times| times.queue_until.since(now));
+        max_wait.map_or(remaining, |max_wait| max_wait.min(remaining))
     }
 
-    /// Returns the time within which an answer is good, where the route tells.
-    fn good_for(&self, call: &Call) -> Option<Duration> {
+    /// Returns the remaining time in which an answer is useful, if the route has a target latency.
+    fn time_to_target(&self, call: &Call) -> Option<Duration> {
         call.times.map(|times| times.good_until.since(self.clock.now()))
     }
 
-    fn request(&self, call: &mut Call) -> Result<Request<Body>, Refused> {
+    fn build_request(&self, call: &mut Call) -> Result<Request<Body>, Refused> {
         let body = call.body.take().ok_or(Refused::new(Reason::BadRequest))?;
         let mut req = Request::new(body);
         *req.method_mut() = call.method.clone();
@@ -202,10 +207,10 @@
         op: Op,
         call: &Call,
         server: &ServerId,
-        admitted: Admitted,
+        permits: Permits,
     ) {
         let remaining = call.deadline.remaining(self.clock.now()).unwrap_or_default();
-        let aim = hop::Aim {
+        let target = hop::Aim {
             service: &call.service,
             server: &server.name,
             kind: &call.treatment.kind,
@@ -216,16 +221,16 @@
             call: call.id.clone(),
             weight: call.treatment.weight,
             remaining_us: units::micros(remaining),
-            wait_us: units::micros(self.wait_left(call)),
+            wait_us: units::micros(self.remaining_wait(call)),
             allowance: call.allowance.left(),
             selective: call.is_selective(),
-            good_us: self.good_for(call).map(units::micros),
-            reservation: admitted.reservation,
+            good_us: self.time_to_target(call).map(units::micros),
+            reservation: permits.reservation,
             request: hop::write_fingerprint(call.identity.request),
             alone: call.alone,
         };
-        hop::write_call(map, op, &aim, &head);
-        if let Some(Claimed { claim, index, incarnation }) = admitted.claimed {
+        hop::write_call(map, op, &target, &head);
+        if let Some(Claimed { claim, index, incarnation }) = permits.claimed {
             headers::set_json(map, headers::CLAIM, &ClaimHeader { claim, index, incarnation });
         }
         if let Some(key) = &self.key {
@@ -233,14 +238,14 @@
         }
     }
 
-    /// Reads what a peer says of the call, and of the backend server.
+    /// Reads the answer of a peer.
     fn read_answer(
         &self,
         call: &Call,
         server: &ServerId,
         address: &str,
         res: Response<Body>,
-    ) -> Tried {
+    ) -> AttemptResult {
         let Some(head) = self.read_answer_head(call, server, address, res.headers()) else {
             return Err(Refused::new(Reason::WrongCall));
         };
@@ -253,7 +258,8 @@
         Ok(Response::from_parts(parts, body))
     }
 
-    /// Reads what goes with a peer's answer to a call; `None` when it belongs to another call.
+    /// Reads the metadata of a peer's answer; returns `None` if it belongs to another call. Records
+    /// the peer's revision and the load report.
     pub(super) fn read_answer_head(
         &self,
         call: &Call,
@@ -282,28 +288,28 @@
         f: impl FnOnce(&mut Server, units::Timestamp) -> R,
     ) -> Option<R> {
         let table = self.table(&call.service)?;
-        let mut choosing = table.lock();
+        let mut balancer = table.lock();
         let now = self.clock.now();
-        choosing.server(&server.name).map(|s| f(s, now))
+        balancer.server(&server.name).map(|s| f(s, now))
     }
 }
 
-/// A call in flight at a backend server; dropping it ends the flight.
-struct Flight<'a> {
+/// Counts a call as in flight at a backend server until it is dropped.
+struct InFlightGuard<'a> {
     outbound: &'a Outbound,
     service: Arc<str>,
     server: Arc<str>,
     sent: Option<Sent>,
 }
 
-impl Flight<'_> {
-    fn start<'a>(outbound: &'a Outbound, call: &Call, server: &ServerId) -> Flight<'a> {
+impl InFlightGuard<'_> {
+    fn start<'a>(outbound: &'a Outbound, call: &Call, server: &ServerId) -> InFlightGuard<'a> {
         let sent = outbound.with_server(call, server, |s, now| s.on_sent(now));
-        Flight { outbound, service: call.service.clone(), server: server.name.clone(), sent }
+        InFlightGuard { outbound, service: call.service.clone(), server: server.name.clone(), sent }
     }
 }
 
-impl Drop for Flight<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         let Some(table) = self.outbound.table(&self.service) else { return };
         if let (Some(sent), Some(server)) = (self.sent, table.lock().server(&self.server)) {
@@ -312,8 +318,8 @@
     }
 }
 
-/// Holds a short answer whole, so that a break in it can still be told from a whole one.
-async fn hold_if_short(res: Response<Body>) -> Tried {
+/// Buffers a short answer, so that an incomplete one is detected before it is forwarded.
+async fn buffer_if_short(res: Response<Body>) -> AttemptResult {
     let (parts, body) = res.into_parts();
     let body = match body::read_start(body, HELD_BYTES).await {
         Ok(Start::Whole(bytes)) => body::full(bytes),
@@ -323,8 +329,8 @@
     Ok(Response::from_parts(parts, body))
 }
 
-/// Returns whether the backend server or its host takes no work for a while.
-fn is_closed(reason: Reason) -> bool {
+/// Returns whether the backend server or its host accepts no requests for a while.
+fn is_unavailable(reason: Reason) -> bool {
     matches!(
         reason,
         Reason::Draining
@@ -336,8 +342,8 @@
     )
 }
 
-/// Returns whether others that waited in front were the reason.
-fn is_queue(reason: Reason) -> bool {
+/// Returns whether the request was refused because of the length of the queue.
+fn is_queue_refusal(reason: Reason) -> bool {
     matches!(reason, Reason::QueueTooLong | Reason::QueueFull)
 }
 
@@ -345,7 +351,7 @@
     Some(RequestKey { service: call.service.clone(), key: call.key.clone()? })
 }
 
-/// The authority of the target is the host name that the caller asked for.
+/// Returns the URI of a call to a peer. Its authority is the host name that the caller requested.
 pub(super) fn peer_target(call: &Call, address: &str) -> Result<Uri, Refused> {
     let authority = headers::text(&call.headers, &header::HOST).unwrap_or(address);
     let path = call.uri.path_and_query().cloned();
--- a/crates/cherrystream-daemon/src/outbound/listing.rs
+++ b/crates/cherrystream-daemon/src/outbound/server_lists.rs
@@ -1,6 +1,6 @@
-//! Which backend servers there are, by the accepted configuration.
+//! Updates the lists of backend servers from the current configuration.
 
-use super::{Choosing, HEDGES_SAVED, Outbound};
+use super::{MAX_SAVED_HEDGES, Outbound, ServiceBalancer};
 use crate::held::Held;
 use cherrystream_core::choose::{self, Distance, ServerId, Table};
 use cherrystream_core::retry::RetryBudget;
@@ -14,15 +14,15 @@
 use std::sync::Arc;
 
 impl Outbound {
-    /// Takes the accepted configuration.
+    /// Applies a configuration.
     pub fn set(&self, held: &Held) {
         self.set_routes(held);
         let shared = &held.shared;
         self.quotas.set(shared, self.routes());
         let mut lists = self.listed_servers(shared);
         self.add_instances(held, &mut lists);
-        let mut trials = self.part_versions(shared, &mut lists);
-        let saved_at_most = self.retries.extra / shared.hosts.len().max(1) as f64;
+        let mut canaries = self.split_versions(shared, &mut lists);
+        let max_saved = self.retries.extra / shared.hosts.len().max(1) as f64;
         let mut tables = self.tables.write();
         tables.retain(|service, _| lists.contains_key(service));
         for (service, ids) in lists {
@@ -31,19 +31,20 @@
                 let rng = SmallRng::seed_from_u64(rand::random());
                 let budget = RetryBudget::new(self.retries.share);
                 let hedges = RetryBudget::new(self.retries.hedge_share);
-                Arc::new(Mutex::new(Choosing { table, trial: None, rng, budget, hedges }))
+                Arc::new(Mutex::new(ServiceBalancer { table, canary: None, rng, budget, hedges }))
             });
-            let mut choosing = table.lock();
-            choosing.table.set_servers(ids);
-            choosing.set_trial(self.policy, trials.remove(&service));
-            choosing.budget.bound(saved_at_most.max(1.0));
-            choosing.hedges.bound(HEDGES_SAVED);
+            let mut balancer = table.lock();
+            balancer.table.set_servers(ids);
+            balancer.set_canary(self.policy, canaries.remove(&service));
+            balancer.budget.bound(max_saved.max(1.0));
+            balancer.hedges.bound(MAX_SAVED_HEDGES);
         }
         drop(tables);
         self.peers.keep_only(|address| shared.hosts.values().any(|h| h.peer_address == address));
     }
 
-    /// Makes routes and workspaces ready for look-ups. Most revisions change other things, and tables may be long.
+    /// Builds the index of routes and workspaces. It is rebuilt only when these change, as tables
+    /// may be long.
     fn set_routes(&self, held: &Held) {
         let (table, config) = (held.routes.as_deref(), &held.shared.config);
         let number = table.map_or(0, |table| table.number);
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Returns the backend servers that operators have listed, by service.
+    /// Returns the backend servers listed in the configuration, by service.
     fn listed_servers(&self, shared: &Shared) -> BTreeMap<Arc<str>, Vec<ServerId>> {
         let mut lists = BTreeMap::new();
         for (service, entry) in &shared.config.services {
@@ -73,7 +74,7 @@
         lists
     }
 
-    /// Adds the instances that reported themselves, and the services that routes name.
+    /// Adds the registered instances, and the services named in routes.
     fn add_instances(&self, held: &Held, lists: &mut BTreeMap<Arc<str>, Vec<ServerId>>) {
         let shared = &held.shared;
         for service in held.routes.iter().flat_map(|table| table.services.keys()) {
--- a/crates/cherrystream-daemon/src/refusal.rs
+++ b/crates/cherrystream-daemon/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The answer to a request that no backend server answered.
+//! Responses to requests that no backend server answered.
 
 use crate::headers;
 use cherrystream_core::reasons::Reason;
@@ -7,33 +7,33 @@
 use http::{Response, StatusCode, header};
 use std::time::Duration;
 
-/// A request that was not answered by a backend server.
+/// Refusal of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refused {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// When it is worth coming back.
+    /// Delay after which a retry is worthwhile.
     pub retry_after: Duration,
 }
 
-/// When a caller comes back whose refusal tells nothing of how long its cause will last.
-const RETURN_SOON: Duration = Duration::from_millis(100);
-/// When a caller comes back to a daemon that knows no configuration yet: measured after a loss of all power,
-/// daemons had theirs 0.4 to 0.7 s after their start. Callers try a few times only.
-const RETURN_WHEN_CONFIGURED: Duration = Duration::from_millis(400);
+/// Delay before a retry if the cause has no known duration.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Delay before a retry if the daemon has no configuration yet. Covers a usual start of a daemon,
+/// as callers retry only a few times.
+const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 impl Refused {
-    /// Creates a refusal that tells nothing of how long its cause will last.
+    /// Creates a refusal with the default retry delay of its reason.
     pub fn new(reason: Reason) -> Refused {
         let retry_after = match reason {
-            Reason::NoConfiguration => RETURN_WHEN_CONFIGURED,
-            _ => RETURN_SOON,
+            Reason::NoConfiguration => UNCONFIGURED_RETRY_AFTER,
+            _ => DEFAULT_RETRY_AFTER,
         };
         Refused { reason, retry_after }
     }
 }
 
-/// Writes a refusal as an answer.
+/// Builds the response to a refused request.
 pub fn response(refused: Refused) -> Response<Body> {
     let reason = refused.reason;
     let reply = ErrorReply { error: reason.to_string(), remedy: remedy(reason).into() };
@@ -44,7 +44,7 @@
     headers::set_static(map, header::CONTENT_TYPE, "application/json");
     headers::set_static(map, headers::OUTCOME, reason.outcome().as_str());
     headers::set_static(map, headers::REASON, reason.as_str());
-    if comes_back(reason) {
+    if can_retry(reason) {
         let ms = refused.retry_after.as_millis().max(1);
         headers::set(map, header::RETRY_AFTER, ms.div_ceil(1_000));
         headers::set(map, headers::RETRY_AFTER_MS, ms);
@@ -52,8 +52,8 @@
     res
 }
 
-/// Returns whether sending the same request later can help.
-fn comes_back(reason: Reason) -> bool {
+/// Returns whether a later retry of the same request can succeed.
+fn can_retry(reason: Reason) -> bool {
     matches!(reason.status(), 429 | 502..=504) || matches!(reason, Reason::StillRunning)
 }
 
@@ -63,12 +63,16 @@
         Reason::BadRequest => "correct the request",
         Reason::UnknownKey => "send a key of a workspace, as `Authorization: Bearer KEY`",
         Reason::HeldBack => {
-            "backend servers ended while they ran it; mend the service or the request, or lift it"
+            "it crashed backend servers; fix the service or the request, or clear the suspect"
+        }
+        Reason::RunsAlone => {
+            "it was not run: a request like it is running in isolation; send it again later"
         }
-        Reason::RunsAlone => "it was not run: another one like it is on trial; send it again later",
         Reason::OverQuota => "send it again after the time in Retry-After, or raise the quota",
         Reason::KeyMissing => "send an Idempotency-Key, a new one for each new request",
-        Reason::KeyTooOld => "ask what became of the first request; send no new one by itself",
+        Reason::KeyTooOld => {
+            "look up the result of the first request; do not send a new one automatically"
+        }
         Reason::KeyReused => "send a new Idempotency-Key with each new request",
         Reason::BodyTooLarge => "send a smaller body",
         Reason::StillRunning => "send the same request again later to get its answer",
--- a/crates/cherrystream-daemon/src/request_log.rs
+++ b/crates/cherrystream-daemon/src/request_log.rs
@@ -1,4 +1,4 @@
-//! One line for each decision on a request, within a budget.
+//! Rate-limited log of finished requests, one line each.
 
 use cherrystream_core::log_budget::LogBudget;
 use cherrystream_core::reasons::Reason;
@@ -8,68 +8,70 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What became of a request, with what decided it.
+/// Summary of a finished request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestSummary {
     /// Identifier of the request.
     pub id: String,
-    /// Route that took it, or kind of request.
+    /// Name of the matched route, or the kind of the request.
     pub kind: String,
-    /// Service that it was for.
+    /// Requested service.
     pub service: String,
-    /// Workspace that it belongs to, where there are workspaces.
+    /// Workspace of the request, if any.
     pub workspace: Option<Arc<str>>,
-    /// Mark of the key that it bore, if it was refused for that and bore one.
+    /// Fingerprint of its key, if it was refused for an unknown key.
     pub key: Option<String>,
-    /// Stands for the request whenever it comes again, as far as it was read.
-    pub mark: Option<Fingerprint>,
-    /// Backend servers that turned it down for being busy.
+    /// Fingerprint of the request, if it was read far enough.
+    pub fingerprint: Option<Fingerprint>,
+    /// Backend servers that refused it as busy.
     pub busy: Vec<Arc<str>>,
     /// Backend servers that it was sent to.
     pub tried: Vec<Arc<str>>,
-    /// Attempts that failed.
+    /// Number of failed attempts.
     pub attempts: u32,
-    /// Backend servers that it reached.
+    /// Number of backend servers that it reached.
     pub arrivals: u32,
 }
 
-/// Writes the lines.
+/// Logs finished requests.
 #[derive(Debug, Default)]
 pub struct RequestLog {
     budget: Mutex<LogBudget>,
 }
 
 impl RequestLog {
-    /// Writes the line of a request that has its final answer; `refused_for` says why it is no backend
-    /// server's.
+    /// Logs a finished request. `refused_for` is the reason of a refusal, or `None` if a backend
+    /// server answered.
     pub fn finish(
         &self,
         now: Timestamp,
         request: &RequestSummary,
         refused_for: Option<Reason>,
         took: Duration,
-        held: Revision,
+        current: Revision,
     ) {
         let failed = refused_for.is_some();
         let Some(dropped) = self.budget.lock().take(now, failed) else { return };
         let outcome = refused_for.map_or("answered", |reason| reason.outcome().as_str());
         let reason = refused_for.map_or("none", Reason::as_str);
         let RequestSummary { id, kind, service, workspace, key, .. } = request;
-        let RequestSummary { mark, busy, tried, attempts, arrivals, .. } = request;
+        let RequestSummary { fingerprint, busy, tried, attempts, arrivals, .. } = request;
         let workspace = workspace.as_deref().unwrap_or("none");
         let key = match refused_for {
             Some(Reason::UnknownKey) => format!(" key={}", key.as_deref().unwrap_or("none")),
             _ => String::new(),
         };
-        let mark = mark.map_or_else(|| "none".to_string(), |mark| mark.to_string());
+        let mark =
+            fingerprint.map_or_else(|| "none".to_string(), |fingerprint| fingerprint.to_string());
         log::info!(
-            "request: id={id} mark={mark} kind={kind} service={service} workspace={workspace}{key} outcome={outcome} reason={reason} \
+            "request: id={id} mark={mark} kind={kind} service={service} workspace={workspace}{key} \
+             outcome={outcome} reason={reason} \
              took_ms={} attempts={attempts} arrivals={arrivals} busy={} tried={} revision={} \
              lines_dropped={dropped}",
             took.as_millis(),
             busy.join(","),
             tried.join(","),
-            Dotted(held),
+            Dotted(current),
         );
     }
 }
