--- a/crates/cherrystream-daemon/tests/hedging.rs
+++ b/crates/cherrystream-daemon/tests/hedging.rs
@@ -1,4 +1,5 @@
-//! What a caller gets when the attempts of its request run, and one of two fails or the state changes.
+//! Responses to requests with a hedged attempt, when one of the attempts fails or the state changes
+//! meanwhile.
 
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::settings;
@@ -25,30 +26,30 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Target latency of the route. A second attempt joins after a part of it.
+/// Target latency of the route. A hedged attempt starts after a share of it.
 const TARGET: Duration = Duration::from_millis(200);
-/// Time for the phase of a stop, and a failure, to be noticed.
-const NOTICED: Duration = Duration::from_millis(100);
+/// Time for a stop phase or a failure to take effect.
+const SETTLE_TIME: Duration = Duration::from_millis(100);
 
-/// What becomes of an attempt once it is let go.
-type End = Result<&'static str, Reason>;
+/// Result of an attempt once it may finish.
+type AttemptEnd = Result<&'static str, Reason>;
 
-/// The daemons beside both backend servers. The first attempt that comes is number 0, whichever of
-/// them it goes to, and all later ones count as number 1; each ends when its number is let go.
+/// The daemons of both backend servers. The first attempt received by either is number 0, and all
+/// later ones are number 1; each finishes when its number is allowed to.
 struct Attempts {
-    ends: [End; 2],
-    begun: watch::Sender<usize>,
-    let_go: watch::Sender<[bool; 2]>,
+    ends: [AttemptEnd; 2],
+    started: watch::Sender<usize>,
+    finish: watch::Sender<[bool; 2]>,
     cancelled: watch::Sender<usize>,
 }
 
-/// Counts an attempt as cancelled unless it ended.
-struct Running<'a> {
+/// Counts an attempt as cancelled if it is dropped before it finishes.
+struct RunningAttempt<'a> {
     attempts: &'a Attempts,
     ended: bool,
 }
 
-impl Drop for Running<'_> {
+impl Drop for RunningAttempt<'_> {
     fn drop(&mut self) {
         if !self.ended {
             self.attempts.cancelled.send_modify(|n| *n += 1);
@@ -57,38 +58,38 @@
 }
 
 impl Attempts {
-    fn new(ends: [End; 2]) -> Arc<Attempts> {
-        let (begun, let_go) = (watch::Sender::new(0), watch::Sender::new([false; 2]));
-        Arc::new(Attempts { ends, begun, let_go, cancelled: watch::Sender::new(0) })
+    fn new(ends: [AttemptEnd; 2]) -> Arc<Attempts> {
+        let (started, finish) = (watch::Sender::new(0), watch::Sender::new([false; 2]));
+        Arc::new(Attempts { ends, started, finish, cancelled: watch::Sender::new(0) })
     }
 
     async fn answer(self: Arc<Self>, req: Request<Incoming>) -> Response<Body> {
-        // Daemons also ask each other what has ended backend servers; nothing is known of that here.
+        // Peers also exchange suspects; there are none here.
         if Op::read(req.headers()) == Some(Op::Suspects) {
             return Response::new(body::empty());
         }
         assert_eq!(Op::read(req.headers()), Some(Op::Call));
-        let (_, head) = hop::read_call(req.headers()).expect("a call has a head");
+        let (_, head) = hop::read_call(req.headers()).expect("a call without its metadata");
         let mut number = 0;
-        self.begun.send_modify(|n| {
+        self.started.send_modify(|n| {
             number = (*n).min(1);
             *n += 1;
         });
         let end = self.ends[number];
-        let mut running = Running { attempts: &self, ended: false };
-        let mut let_go = self.let_go.subscribe();
-        let _ = let_go.wait_for(|let_go| let_go[number]).await;
+        let mut running = RunningAttempt { attempts: &self, ended: false };
+        let mut finish = self.finish.subscribe();
+        let _ = finish.wait_for(|finish| finish[number]).await;
         running.ended = true;
         let result = end.map(|text| Response::new(body::full(text))).map_err(Refused::new);
         hop::write_answer(head.call, result, None)
     }
 
-    async fn run(&self, number: usize) {
-        let _ = self.begun.subscribe().wait_for(|begun| *begun == number).await;
+    async fn wait_started(&self, number: usize) {
+        let _ = self.started.subscribe().wait_for(|started| *started == number).await;
     }
 
-    fn let_go(&self, number: usize) {
-        self.let_go.send_modify(|let_go| let_go[number] = true);
+    fn finish(&self, number: usize) {
+        self.finish.send_modify(|finish| finish[number] = true);
     }
 
     fn cancelled(&self) -> usize {
@@ -107,7 +108,7 @@
     address
 }
 
-/// Returns a state in which a service has an instance beside each of two peers.
+/// Returns a state with an instance of a service beside each of two peers.
 fn state(peers: [&str; 2]) -> Shared {
     let mut state = shared::empty();
     for (name, address) in ["peer-1", "peer-2"].into_iter().zip(peers) {
@@ -165,7 +166,7 @@
     state
 }
 
-/// A daemon that may make second attempts, but no retries.
+/// A daemon with hedged attempts and without retries.
 struct Caller {
     daemon: Daemon,
     phases: Phases,
@@ -194,11 +195,11 @@
         };
         let daemon = Daemon::start(&all, all.daemon.as_ref().unwrap(), cx).await.unwrap();
         let caller = Caller { daemon, phases, address };
-        caller.take(1, state);
+        caller.apply(1, state);
         caller
     }
 
-    fn take(&self, index: u64, state: Shared) {
+    fn apply(&self, index: u64, state: Shared) {
         self.daemon.held().take(Update {
             revision: Revision { term: 1, index },
             changes: Vec::new(),
@@ -212,12 +213,12 @@
         let connection = pool.connection().await.expect("no connection");
         let (parts, body) = pool.send(connection, req).await.expect("no answer").into_parts();
         let Ok(Start::Whole(bytes)) = body::read_start(body, 1 << 16).await else {
-            panic!("the answer broke off");
+            panic!("the response body is incomplete");
         };
         (parts.status.as_u16(), String::from_utf8_lossy(&bytes).into_owned())
     }
 
-    /// Asks until the state is in force: before that no service is known.
+    /// Sends the request until the state is in effect; until then the service is unknown.
     async fn ask(&self) -> (u16, String) {
         for _ in 0..1_000 {
             let answer = self.ask_once().await;
@@ -226,85 +227,86 @@
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        panic!("the state is not in force after 5 s");
+        panic!("the state is not in effect after 5 s");
     }
 
-    /// Waits until a state without services is in force.
-    async fn forgets(&self) {
+    /// Waits until a state without services is in effect.
+    async fn wait_until_removed(&self) {
         while self.ask_once().await.0 != 404 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 }
 
-/// Sends a request whose two attempts run when its host begins to stop, and ends them in an order;
-/// returns the answer, and how many attempts were broken off before they ended.
-async fn answer_in_a_stop(ends: [End; 2], order: [usize; 2]) -> ((u16, String), usize) {
+/// Sends a request with two attempts that run when its host begins to stop, and finishes them in
+/// the given order. Returns the answer, and how many attempts were cancelled.
+async fn answer_during_stop(ends: [AttemptEnd; 2], order: [usize; 2]) -> ((u16, String), usize) {
     let attempts = Attempts::new(ends);
     let peers = [start_peer(&attempts).await, start_peer(&attempts).await];
     let caller = Caller::start(state([&peers[0], &peers[1]])).await;
     let phases = caller.phases.clone();
     let ending = async {
-        attempts.run(2).await;
+        attempts.wait_started(2).await;
         phases.enter(Phase::Leaving);
-        attempts.let_go(order[0]);
-        tokio::time::sleep(NOTICED).await;
-        let broken_off = attempts.cancelled();
-        attempts.let_go(order[1]);
-        broken_off
+        attempts.finish(order[0]);
+        tokio::time::sleep(SETTLE_TIME).await;
+        let cancelled = attempts.cancelled();
+        attempts.finish(order[1]);
+        cancelled
     };
     let ended = tokio::join!(caller.ask(), ending);
-    assert_eq!(*attempts.begun.borrow(), 2, "there is no third attempt");
+    assert_eq!(*attempts.started.borrow(), 2, "expected exactly two attempts");
     ended
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_second_attempt_goes_on_when_the_first_one_fails() {
+async fn a_hedged_attempt_continues_when_the_first_one_fails() {
     let ends = [Err(Reason::BackendServerBroke), Ok("done")];
-    let ((status, text), broken_off) = answer_in_a_stop(ends, [0, 1]).await;
-    assert_eq!((status, text.as_str(), broken_off), (200, "done", 0));
+    let ((status, text), cancelled) = answer_during_stop(ends, [0, 1]).await;
+    assert_eq!((status, text.as_str(), cancelled), (200, "done", 0));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_first_attempt_goes_on_when_the_second_one_fails() {
+async fn a_first_attempt_continues_when_the_hedged_one_fails() {
     let ends = [Ok("done"), Err(Reason::BackendServerBroke)];
-    let ((status, text), broken_off) = answer_in_a_stop(ends, [1, 0]).await;
-    assert_eq!((status, text.as_str(), broken_off), (200, "done", 0));
+    let ((status, text), cancelled) = answer_during_stop(ends, [1, 0]).await;
+    assert_eq!((status, text.as_str(), cancelled), (200, "done", 0));
 }
 
-/// Either attempt may have run: that the other one did not says nothing of the request.
+/// Guards against reporting "not run" because of one attempt although the other may have run.
 #[tokio::test(flavor = "multi_thread")]
-async fn not_run_is_not_said_when_one_of_two_attempts_may_have_run() {
+async fn not_run_is_not_reported_if_either_attempt_may_have_run() {
     let (refused, broke) = (Err(Reason::DeadlineBeforeStart), Err(Reason::BackendServerBroke));
     for (ends, order) in [([refused, broke], [0, 1]), ([refused, broke], [1, 0])] {
-        let ((status, text), _) = answer_in_a_stop(ends, order).await;
+        let ((status, text), _) = answer_during_stop(ends, order).await;
         assert_eq!(status, 502, "{text}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn not_run_is_said_when_neither_of_two_attempts_ran() {
+async fn not_run_is_reported_if_neither_attempt_ran() {
     let ends = [Err(Reason::DeadlineBeforeStart), Err(Reason::DeadlineBeforeStart)];
-    let ((status, text), _) = answer_in_a_stop(ends, [0, 1]).await;
+    let ((status, text), _) = answer_during_stop(ends, [0, 1]).await;
     assert_eq!(status, 503, "{text}");
 }
 
-/// Its route, its service, the instance that runs it and the host of that instance are taken out of the state.
+/// Guards against cancelling a request whose route, service, instance and host are removed from the
+/// state.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_outlasts_the_removal_of_all_that_it_went_by() {
+async fn a_request_completes_after_its_route_service_and_host_are_removed() {
     let attempts = Attempts::new([Ok("done"), Err(Reason::DeadlineBeforeStart)]);
     let peer = start_peer(&attempts).await;
-    let mut only = state([&peer, &peer]);
-    only.instances.remove("peer-2");
-    let caller = Caller::start(only).await;
+    let mut initial = state([&peer, &peer]);
+    initial.instances.remove("peer-2");
+    let caller = Caller::start(initial).await;
     let removing = async {
-        attempts.run(1).await;
-        attempts.let_go(1);
-        caller.take(2, shared::empty());
-        caller.forgets().await;
-        // Connections to hosts that are gone are given up with the state.
-        tokio::time::sleep(NOTICED).await;
-        attempts.let_go(0);
+        attempts.wait_started(1).await;
+        attempts.finish(1);
+        caller.apply(2, shared::empty());
+        caller.wait_until_removed().await;
+        // Connections to removed hosts are closed when the state changes.
+        tokio::time::sleep(SETTLE_TIME).await;
+        attempts.finish(0);
     };
     let ((status, text), ()) = tokio::join!(caller.ask(), removing);
     assert_eq!((status, text.as_str(), attempts.cancelled()), (200, "done", 0));
--- a/crates/cherrystream-daemon/tests/hop.rs
+++ b/crates/cherrystream-daemon/tests/hop.rs
@@ -1,4 +1,4 @@
-//! What two daemons tell each other about a call.
+//! Metadata of calls between two daemons.
 
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::reservations::Reservation;
@@ -27,9 +27,9 @@
 }
 
 #[test]
-fn a_call_is_read_as_it_was_written() {
+fn a_call_round_trips() {
     let mut map = HeaderMap::new();
-    let aim = Aim {
+    let target = Aim {
         service: "quotes",
         server: "q-1",
         kind: "r-7",
@@ -48,21 +48,21 @@
         request: hop::write_fingerprint(Fingerprint(u64::MAX - 7)),
         alone: true,
     };
-    hop::write_call(&mut map, Op::Call, &aim, &head);
-    let (read_aim, read_head) = hop::read_call(&map).unwrap();
+    hop::write_call(&mut map, Op::Call, &target, &head);
+    let (read_target, read_head) = hop::read_call(&map).unwrap();
     assert_eq!(read_head, head);
     assert_eq!(
-        (read_aim.service, read_aim.server, read_aim.kind, read_aim.caller),
+        (read_target.service, read_target.server, read_target.kind, read_target.caller),
         ("quotes", "q-1", "r-7", Some("payouts"))
     );
-    assert_eq!(read_aim.workspace, Some("studio"));
-    // What differs from call to call is in one header, and short.
+    assert_eq!(read_target.workspace, Some("studio"));
+    // All per-call values are in one short header.
     let value = map.get(headers::HOP).unwrap();
     assert!(value.len() <= 48, "{} bytes", value.len());
 }
 
 #[test]
-fn a_refusal_tells_its_reason_and_when_to_come_back_and_nothing_else() {
+fn a_refusal_carries_its_reason_and_retry_delay_without_a_body() {
     let retry_after = Duration::from_millis(35);
     let refused = Refused { reason: Reason::BusyNow, retry_after };
     let res = hop::write_answer("c".into(), Err(refused), Some(report()));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_reservation_is_read_as_it_was_written() {
+fn a_reservation_round_trips() {
     let res = hop::write_reservation("c".into(), Ok(Reservation(u64::MAX)), Some(report()));
     assert!(res.body().is_end_stream());
     let head = hop::read_answer(res.headers()).unwrap();
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_refused_reservation_tells_its_reason_and_keeps_no_slot() {
+fn a_refused_reservation_carries_its_reason_and_no_slot() {
     let refused = Refused { reason: Reason::QueueFull, retry_after: Duration::from_millis(35) };
     let res = hop::write_reservation("c".into(), Err(refused), None);
     let head = hop::read_answer(res.headers()).unwrap();
@@ -90,16 +90,16 @@
 }
 
 #[test]
-fn an_answer_is_no_refusal() {
+fn an_answer_is_not_read_as_a_refusal() {
     let answer = Response::new(body::full("x"));
     let res = hop::write_answer("c".into(), Ok(answer), None);
     let head = hop::read_answer(res.headers()).unwrap();
     assert_eq!(hop::read_refusal(res.headers(), &head), None);
 }
 
-/// A peer of another version may have run the request: that is never told as "not run".
+/// Guards against reporting "not run" for a reason of a newer version, which is unknown here.
 #[test]
-fn a_refusal_without_a_known_reason_promises_nothing() {
+fn a_refusal_with_an_unknown_reason_may_have_run() {
     let mut res = hop::write_answer("c".into(), Err(Refused::new(Reason::BusyNow)), None);
     headers::set_static(res.headers_mut(), headers::REASON, "of-a-later-version");
     let head = hop::read_answer(res.headers()).unwrap();
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn identifiers_of_any_form_are_read_as_they_were_written() {
+fn call_identifiers_of_any_form_round_trip() {
     for id in [
         "9c41d07be2a35f68",
         "9C41D07BE2A35F68",
--- a/crates/cherrystream-daemon/tests/late_answers.rs
+++ b/crates/cherrystream-daemon/tests/late_answers.rs
@@ -1,4 +1,4 @@
-//! What a caller gets when a backend server answers an earlier request a second time.
+//! Responses to callers when a backend server answers an earlier request a second time.
 
 use cherrystream_core::settings;
 use cherrystream_core::shared;
@@ -17,48 +17,49 @@
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Time for which the backend server works on the request that follows.
+/// Time for which the backend server works on the next request.
 const WORK: Duration = Duration::from_millis(200);
 
-/// How a backend server writes an answer.
-type Write = fn(id: &str, text: &str) -> Vec<u8>;
+/// Encodes a response of a backend server.
+type Encode = fn(id: &str, text: &str) -> Vec<u8>;
 
-/// A backend server that answers each request, and the one before it once more as the next one comes.
-struct BackEnd {
-    write: Write,
-    /// Set when a request was cut off while it was worked on.
-    cut_off: Arc<AtomicBool>,
+/// A backend server that answers each request, and repeats the previous answer when the next
+/// request arrives.
+struct RepeatingServer {
+    encode: Encode,
+    /// Set if a connection is closed while its request is in flight.
+    closed_early: Arc<AtomicBool>,
 }
 
-impl BackEnd {
+impl RepeatingServer {
     async fn serve(self, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
-            let (write, cut_off) = (self.write, self.cut_off.clone());
-            tokio::spawn(async move { connection(stream, write, &cut_off).await });
+            let (encode, closed_early) = (self.encode, self.closed_early.clone());
+            tokio::spawn(async move { connection(stream, encode, &closed_early).await });
         }
     }
 }
 
-async fn connection(stream: TcpStream, write: Write, cut_off: &AtomicBool) {
+async fn connection(stream: TcpStream, encode: Encode, closed_early: &AtomicBool) {
     let (read, mut to) = stream.into_split();
     let mut from = BufReader::new(read);
     let mut earlier: Option<String> = None;
     while let Some(id) = read_id(&mut from).await {
         if let Some(earlier) = earlier.replace(id.clone()) {
-            let late = write(&earlier, "late");
+            let late = encode(&earlier, "late");
             let (head, rest) = late.split_at(late.len() / 2);
             to.write_all(head).await.unwrap();
             tokio::time::sleep(WORK / 2).await;
             to.write_all(rest).await.unwrap();
         }
-        // The connection closes when its caller gives the request up.
+        // The connection closes if its caller cancels the request.
         let closed = tokio::time::timeout(WORK, from.fill_buf()).await;
-        cut_off.fetch_or(closed.is_ok(), Ordering::SeqCst);
-        let _ = to.write_all(&write(&id, "own")).await;
+        closed_early.fetch_or(closed.is_ok(), Ordering::SeqCst);
+        let _ = to.write_all(&encode(&id, "own")).await;
     }
 }
 
-/// Reads the head of a request without a body; returns its identifier, empty where it has none.
+/// Reads the head of a request without a body; returns its identifier, empty if it has none.
 async fn read_id(from: &mut BufReader<OwnedReadHalf>) -> Option<String> {
     let mut id = String::new();
     loop {
@@ -89,11 +90,12 @@
     }
 }
 
-/// Starts a daemon that makes no retries beside a backend server; returns the address for its callers with it.
-async fn start(write: Write, cut_off: Arc<AtomicBool>) -> (Daemon, String) {
+/// Starts a daemon without retries beside a backend server; returns the daemon and its address for
+/// callers.
+async fn start(encode: Encode, closed_early: Arc<AtomicBool>) -> (Daemon, String) {
     let listener = serve::listen("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    tokio::spawn(BackEnd { write, cut_off }.serve(listener));
+    tokio::spawn(RepeatingServer { encode, closed_early }.serve(listener));
     let reserved = serve::listen("127.0.0.1:0").await.unwrap();
     let callers = reserved.local_addr().unwrap().to_string();
     drop(reserved);
@@ -143,18 +145,19 @@
     let connection = pool.connection().await.expect("no connection");
     let (parts, body) = pool.send(connection, req).await.expect("no answer").into_parts();
     let Ok(Start::Whole(bytes)) = body::read_start(body, 1 << 16).await else {
-        panic!("the answer broke off");
+        panic!("the response body is incomplete");
     };
     (parts.status.as_u16(), String::from_utf8_lossy(&bytes).into_owned())
 }
 
-/// Asks three times on one connection to the backend server, of which the last two meet a late answer.
-async fn answers(write: Write) -> Vec<(u16, String)> {
-    let cut_off = Arc::new(AtomicBool::new(false));
-    let (_daemon, callers) = start(write, cut_off.clone()).await;
+/// Sends three requests on one connection to the backend server. The last two coincide with a late
+/// answer.
+async fn answers(encode: Encode) -> Vec<(u16, String)> {
+    let closed_early = Arc::new(AtomicBool::new(false));
+    let (_daemon, callers) = start(encode, closed_early.clone()).await;
     let mut first = ask(&callers).await;
     for _ in 0..1_000 {
-        // Before the state is in force no service is known.
+        // The service is unknown until the state is in effect.
         if first.0 != 404 {
             break;
         }
@@ -162,18 +165,18 @@
         first = ask(&callers).await;
     }
     let answers = vec![first, ask(&callers).await, ask(&callers).await];
-    assert!(!cut_off.load(Ordering::SeqCst), "cut off at work: {answers:?}");
+    assert!(!closed_early.load(Ordering::SeqCst), "closed in flight: {answers:?}");
     answers
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_outlasts_a_late_answer_to_an_earlier_one() {
+async fn a_late_answer_to_an_earlier_request_does_not_fail_the_next_one() {
     let answers = answers(with_length).await;
     assert!(answers.iter().all(|answer| *answer == (200, "own".into())), "{answers:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_outlasts_a_late_answer_without_a_body() {
+async fn a_late_answer_without_a_body_does_not_fail_the_next_request() {
     let answers = answers(without_body).await;
     assert!(answers.iter().all(|answer| *answer == (200, "own".into())), "{answers:?}");
 }
--- a/crates/cherrystream-daemon/tests/regions.rs
+++ b/crates/cherrystream-daemon/tests/regions.rs
@@ -1,4 +1,5 @@
-//! A request whose route states regions is served there only, whatever fails and however good others are.
+//! Requests of a route with allowed regions are served only there, whatever fails and however well
+//! others would serve them.
 
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::settings;
@@ -27,30 +28,30 @@
 struct Peer {
     name: &'static str,
     region: &'static str,
-    /// Why it refuses; it answers where it does not.
-    refuses: Option<Reason>,
+    /// Reason of its refusals; `None` if it answers.
+    refusal: Option<Reason>,
     calls: Arc<AtomicUsize>,
 }
 
 impl Peer {
-    fn new(name: &'static str, region: &'static str, refuses: Option<Reason>) -> Peer {
-        Peer { name, region, refuses, calls: Arc::default() }
+    fn new(name: &'static str, region: &'static str, refusal: Option<Reason>) -> Peer {
+        Peer { name, region, refusal, calls: Arc::default() }
     }
 
     async fn start(&self) -> String {
         let listener = serve::listen("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap().to_string();
-        let (refuses, calls) = (self.refuses, self.calls.clone());
+        let (refusal, calls) = (self.refusal, self.calls.clone());
         tokio::spawn(serve::serve(listener, Phases::default(), move |req| {
             let calls = calls.clone();
             async move {
-                // Daemons also ask each other what has ended backend servers; nothing is known of that here.
+                // Peers also exchange suspects; there are none here.
                 if Op::read(req.headers()) == Some(Op::Suspects) {
                     return Response::new(body::empty());
                 }
                 calls.fetch_add(1, Ordering::SeqCst);
-                let (_, head) = hop::read_call(req.headers()).expect("a call has a head");
-                let result = match refuses {
+                let (_, head) = hop::read_call(req.headers()).expect("a call without its metadata");
+                let result = match refusal {
                     Some(reason) => Err(Refused::new(reason)),
                     None => Ok(Response::new(body::full("served"))),
                 };
@@ -120,7 +121,8 @@
     }
 }
 
-/// Starts a daemon of region `r1` that holds the peers and a route with these regions; returns its address.
+/// Starts a daemon of region `r1` with the peers and a route with these regions; returns the daemon
+/// and a connection pool to it.
 async fn start_caller(peers: &[Peer], allowed_regions: &[&str]) -> (Daemon, Pool) {
     let mut state = shared::empty();
     for peer in peers {
@@ -154,7 +156,7 @@
     (daemon, Pool::new(&address, Default::default()))
 }
 
-/// Asks once the state is in force; returns the status and the reason.
+/// Sends a request once the state is in effect; returns the status and the reason.
 async fn ask(pool: &Pool) -> (u16, String) {
     for _ in 0..1_000 {
         let req = Request::get("/x").header("host", "a.example").body(body::empty()).unwrap();
@@ -167,11 +169,11 @@
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    panic!("the state is not in force after 5 s");
+    panic!("the state is not in effect after 5 s");
 }
 
 #[tokio::test]
-async fn a_request_is_served_in_the_regions_of_its_route_only() {
+async fn a_request_is_served_only_in_the_regions_of_its_route() {
     let peers = [Peer::new("near", "r1", None), Peer::new("far", "r2", None)];
     let (_daemon, pool) = start_caller(&peers, &["r2"]).await;
     for _ in 0..20 {
@@ -181,7 +183,7 @@
 }
 
 #[tokio::test]
-async fn no_retry_and_no_want_of_room_leads_out_of_the_regions() {
+async fn neither_retries_nor_busy_servers_lead_out_of_the_regions() {
     for reason in [Reason::BusyNow, Reason::QueueFull, Reason::BackendServerDown] {
         let peers = [Peer::new("near", "r1", None), Peer::new("far", "r2", Some(reason))];
         let (_daemon, pool) = start_caller(&peers, &["r2"]).await;
@@ -194,7 +196,7 @@
 }
 
 #[tokio::test]
-async fn where_no_backend_server_is_in_a_region_it_is_refused_at_once() {
+async fn without_a_backend_server_in_an_allowed_region_it_is_refused_at_once() {
     let peers = [Peer::new("near", "r1", None)];
     let (_daemon, pool) = start_caller(&peers, &["r2"]).await;
     assert_eq!(ask(&pool).await, (503, "region-not-allowed".into()));
--- a/crates/cherrystream-daemon/tests/reserving.rs
+++ b/crates/cherrystream-daemon/tests/reserving.rs
@@ -1,4 +1,4 @@
-//! What a daemon sends to a peer for a request with a long body, or one that may not be repeated.
+//! Reservations that a daemon makes at a peer for long bodies and non-repeatable requests.
 
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::reservations::Reservation;
@@ -29,57 +29,57 @@
 const SLOT: Reservation = Reservation(42);
 const LONG_BODY: &str = "thirty-two bytes of a long body.";
 
-/// What the peer was asked, with the bytes of body that came along.
+/// A call received by the peer, with the length of its body.
 #[derive(Clone, Debug, PartialEq)]
-struct Asked {
+struct ReceivedCall {
     op: Op,
     reservation: Option<Reservation>,
     body_bytes: usize,
 }
 
-/// What a peer does with calls.
+/// Behavior of a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Habit {
+enum Behavior {
     Grants,
-    /// It grants, but says nothing to the first that it is asked for far longer than it is waited for.
+    /// Grants, but answers the first reservation long after its timeout.
     GrantsLate,
     Refuses,
-    /// It takes calls and says nothing, as one does that stands still.
-    SaysNothing,
+    /// Accepts calls and never answers, as a stalled host does.
+    Unresponsive,
 }
 
-/// A peer.
+/// A peer that records the calls it receives.
 struct Peer {
-    habit: Habit,
-    asked: Mutex<Vec<Asked>>,
+    behavior: Behavior,
+    received: Mutex<Vec<ReceivedCall>>,
 }
 
 impl Peer {
     async fn answer(self: Arc<Self>, req: Request<Incoming>) -> Response<Body> {
         let (parts, incoming) = req.into_parts();
-        // Daemons also ask each other what has ended backend servers; nothing is known of that here.
+        // Peers also exchange suspects; there are none here.
         if Op::read(&parts.headers) == Some(Op::Suspects) {
             return Response::new(body::empty());
         }
-        let op = Op::read(&parts.headers).expect("a daemon names what it asks");
-        let (_, head) = hop::read_call(&parts.headers).expect("a call has a head");
+        let op = Op::read(&parts.headers).expect("a call without an operation");
+        let (_, head) = hop::read_call(&parts.headers).expect("a call without its metadata");
         let Ok(Start::Whole(bytes)) = body::read_start(body::incoming(incoming), 1 << 20).await
         else {
-            panic!("the body broke off");
+            panic!("the body is incomplete");
         };
-        let asked = Asked { op, reservation: head.reservation, body_bytes: bytes.len() };
+        let call = ReceivedCall { op, reservation: head.reservation, body_bytes: bytes.len() };
         let is_first = {
-            let mut all = self.asked.lock();
-            all.push(asked);
+            let mut all = self.received.lock();
+            all.push(call);
             all.len() == 1
         };
-        if is_first && self.habit == Habit::GrantsLate {
+        if is_first && self.behavior == Behavior::GrantsLate {
             tokio::time::sleep(Duration::from_millis(900)).await;
         }
         let refused = Refused::new(Reason::BusyNow);
-        let grants = matches!(self.habit, Habit::Grants | Habit::GrantsLate);
+        let grants = matches!(self.behavior, Behavior::Grants | Behavior::GrantsLate);
         match op {
-            _ if self.habit == Habit::SaysNothing => std::future::pending().await,
+            _ if self.behavior == Behavior::Unresponsive => std::future::pending().await,
             Op::Reserve if grants => hop::write_reservation(head.call, Ok(SLOT), None),
             Op::Reserve => hop::write_reservation(head.call, Err(refused), None),
             _ if grants => {
@@ -90,11 +90,11 @@
     }
 }
 
-/// Starts a peer on a free port; returns its address with it.
-async fn start_peer(habit: Habit) -> (Arc<Peer>, String) {
+/// Starts a peer on a free port; returns the peer and its address.
+async fn start_peer(behavior: Behavior) -> (Arc<Peer>, String) {
     let listener = serve::listen("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let peer = Arc::new(Peer { habit, asked: Mutex::default() });
+    let peer = Arc::new(Peer { behavior, received: Mutex::default() });
     let handler = peer.clone();
     tokio::spawn(serve::serve(listener, Phases::default(), move |req| handler.clone().answer(req)));
     (peer, address)
@@ -105,7 +105,7 @@
     state_with(peer_address, false)
 }
 
-/// As [`state`], with a route whose requests may be repeated or not.
+/// As [`state`], with a repeatable or non-repeatable route.
 fn state_with(peer_address: &str, repeatable: bool) -> Shared {
     let mut state = shared::empty();
     let host = |name: &str, address: &str| HostRecord {
@@ -161,7 +161,7 @@
     state
 }
 
-/// Starts a daemon that holds a state; returns the address for its callers with it.
+/// Starts a daemon with a state; returns the daemon and its address for callers.
 async fn start_daemon(state: Shared) -> (Daemon, String) {
     let reserved = serve::listen("127.0.0.1:0").await.unwrap();
     let callers = reserved.local_addr().unwrap().to_string();
@@ -195,8 +195,8 @@
     pool.send(connection, req).await.expect("no answer").status().as_u16()
 }
 
-/// Asks until the state is in force: before that no service is known.
-async fn ask_in_force(callers: &str, text: &str) -> u16 {
+/// Sends the request until the state is in effect; until then the service is unknown.
+async fn ask_until_in_effect(callers: &str, text: &str) -> u16 {
     for _ in 0..1_000 {
         let status = ask(callers, text.into()).await;
         if status != 404 {
@@ -204,85 +204,86 @@
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    panic!("the state is not in force after 5 s");
+    panic!("the state is not in effect after 5 s");
 }
 
-/// Checks that the request travelled once, with its slot, after nothing but questions for one.
-fn assert_asked_first(peer: &Peer, body_bytes: usize) {
-    let asked = peer.asked.lock().clone();
-    let (last, before) = asked.split_last().expect("nothing was asked");
-    let reserve = Asked { op: Op::Reserve, reservation: None, body_bytes: 0 };
-    assert_eq!(*last, Asked { op: Op::Call, reservation: Some(SLOT), body_bytes });
-    assert!(!before.is_empty() && before.iter().all(|a| *a == reserve), "{asked:?}");
+/// Checks that the request was sent once, with its slot, after at least one reservation and nothing
+/// else.
+fn assert_reserved_first(peer: &Peer, body_bytes: usize) {
+    let calls = peer.received.lock().clone();
+    let (last, before) = calls.split_last().expect("no call was received");
+    let reserve = ReceivedCall { op: Op::Reserve, reservation: None, body_bytes: 0 };
+    assert_eq!(*last, ReceivedCall { op: Op::Call, reservation: Some(SLOT), body_bytes });
+    assert!(!before.is_empty() && before.iter().all(|a| *a == reserve), "{calls:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_long_body_does_not_travel_with_an_offer_that_is_turned_down() {
-    let (peer, address) = start_peer(Habit::Refuses).await;
+async fn a_long_body_is_not_sent_with_a_refused_offer() {
+    let (peer, address) = start_peer(Behavior::Refuses).await;
     let (_daemon, callers) = start_daemon(state(&address)).await;
-    assert_eq!(ask_in_force(&callers, &LONG_BODY.repeat(128)).await, 503);
-    let asked = peer.asked.lock().clone();
-    assert!(asked.iter().all(|a| a.op == Op::Reserve && a.body_bytes == 0), "{asked:?}");
-    assert!(!asked.is_empty());
+    assert_eq!(ask_until_in_effect(&callers, &LONG_BODY.repeat(128)).await, 503);
+    let calls = peer.received.lock().clone();
+    assert!(calls.iter().all(|a| a.op == Op::Reserve && a.body_bytes == 0), "{calls:?}");
+    assert!(!calls.is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_long_body_travels_once_to_the_slot_that_is_kept_for_it() {
-    let (peer, address) = start_peer(Habit::Grants).await;
+async fn a_long_body_is_sent_once_to_its_reserved_slot() {
+    let (peer, address) = start_peer(Behavior::Grants).await;
     let (_daemon, callers) = start_daemon(state(&address)).await;
-    assert_eq!(ask_in_force(&callers, &LONG_BODY.repeat(128)).await, 200);
-    assert_asked_first(&peer, 32 * 128);
+    assert_eq!(ask_until_in_effect(&callers, &LONG_BODY.repeat(128)).await, 200);
+    assert_reserved_first(&peer, 32 * 128);
 }
 
-/// A body that comes from the caller's connection can be sent once only: an offer must not use it up.
+/// Guards against consuming a streamed body, which can be sent only once, by a refused offer.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_body_that_is_not_held_is_offered_too() {
-    let (peer, address) = start_peer(Habit::Grants).await;
+async fn a_streamed_body_is_sent_after_a_reservation() {
+    let (peer, address) = start_peer(Behavior::Grants).await;
     let (_daemon, callers) = start_daemon(state(&address)).await;
     let repeats = 4 * 1_024;
-    assert_eq!(ask_in_force(&callers, &LONG_BODY.repeat(repeats)).await, 200);
-    let ops: Vec<Op> = peer.asked.lock().iter().map(|asked| asked.op).collect();
+    assert_eq!(ask_until_in_effect(&callers, &LONG_BODY.repeat(repeats)).await, 200);
+    let ops: Vec<Op> = peer.received.lock().iter().map(|call| call.op).collect();
     assert_eq!(ops, [Op::Reserve, Op::Call]);
-    assert_eq!(peer.asked.lock()[1].body_bytes, 32 * repeats);
+    assert_eq!(peer.received.lock()[1].body_bytes, 32 * repeats);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_short_body_of_a_repeatable_request_travels_with_the_offer() {
-    let (peer, address) = start_peer(Habit::Grants).await;
+async fn a_short_body_of_a_repeatable_request_is_sent_with_the_offer() {
+    let (peer, address) = start_peer(Behavior::Grants).await;
     let (_daemon, callers) = start_daemon(state_with(&address, true)).await;
-    assert_eq!(ask_in_force(&callers, LONG_BODY).await, 200);
-    let asked = Asked { op: Op::Call, reservation: None, body_bytes: 32 };
-    assert_eq!(*peer.asked.lock(), [asked]);
+    assert_eq!(ask_until_in_effect(&callers, LONG_BODY).await, 200);
+    let call = ReceivedCall { op: Op::Call, reservation: None, body_bytes: 32 };
+    assert_eq!(*peer.received.lock(), [call]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_may_not_be_repeated_asks_first_whatever_its_length() {
-    let (peer, address) = start_peer(Habit::Grants).await;
+async fn a_non_repeatable_request_of_any_length_reserves_a_slot() {
+    let (peer, address) = start_peer(Behavior::Grants).await;
     let (_daemon, callers) = start_daemon(state(&address)).await;
-    assert_eq!(ask_in_force(&callers, LONG_BODY).await, 200);
-    assert_asked_first(&peer, 32);
+    assert_eq!(ask_until_in_effect(&callers, LONG_BODY).await, 200);
+    assert_reserved_first(&peer, 32);
 }
 
-/// A peer that is silent for longer than it is waited for is asked again; the request travels once all the same.
+/// A reservation that times out is repeated; the request is still sent only once.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_peer_that_grants_late_is_asked_again_and_sent_the_request_once() {
-    let (peer, address) = start_peer(Habit::GrantsLate).await;
+async fn a_late_grant_is_requested_again_and_the_request_sent_once() {
+    let (peer, address) = start_peer(Behavior::GrantsLate).await;
     let (_daemon, callers) = start_daemon(state(&address)).await;
-    assert_eq!(ask_in_force(&callers, LONG_BODY).await, 200);
-    assert_asked_first(&peer, 32);
-    assert!(peer.asked.lock().len() > 2, "it was asked once only");
+    assert_eq!(ask_until_in_effect(&callers, LONG_BODY).await, 200);
+    assert_reserved_first(&peer, 32);
+    assert!(peer.received.lock().len() > 2, "the reservation was not repeated");
 }
 
-/// Load: a host that stands still. The caller may send its request again, for it is told that it was not run, and long before
-/// the 2 s of the route are over.
+/// Guards against an unknown outcome from a stalled host: the caller learns that the request has
+/// not run, well before the route's deadline of 2 s.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_peer_that_says_nothing_has_not_run_a_request_that_may_not_be_repeated() {
-    let (peer, address) = start_peer(Habit::SaysNothing).await;
+async fn a_non_repeatable_request_has_not_run_if_the_peer_is_unresponsive() {
+    let (peer, address) = start_peer(Behavior::Unresponsive).await;
     let (_daemon, callers) = start_daemon(state(&address)).await;
     let started = std::time::Instant::now();
-    assert_eq!(ask_in_force(&callers, LONG_BODY).await, 503);
+    assert_eq!(ask_until_in_effect(&callers, LONG_BODY).await, 503);
     let took = started.elapsed();
-    assert!(took < Duration::from_millis(1_500), "told after {took:?}");
-    let asked = peer.asked.lock().clone();
-    assert!(asked.iter().all(|a| a.op == Op::Reserve), "{asked:?}");
+    assert!(took < Duration::from_millis(1_500), "answered after {took:?}");
+    let calls = peer.received.lock().clone();
+    assert!(calls.iter().all(|a| a.op == Op::Reserve), "{calls:?}");
 }
