--- a/crates/cherrystream-daemon/src/held.rs
+++ b/crates/cherrystream-daemon/src/current_config.rs
@@ -1,4 +1,5 @@
-//! The revision of the shared state held by this daemon. It never decreases.
+//! The current configuration: the newest revision of the shared state held by this daemon. The
+//! revision never decreases.
 
 use cherrystream_core::rollout::guard::CanaryLease;
 use cherrystream_core::shared;
@@ -10,7 +11,7 @@
 
 /// A snapshot of the shared state.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct CurrentConfig {
     /// Revision of the snapshot; zero before the first update.
     pub revision: Revision,
     /// The state without its route table.
@@ -19,7 +20,7 @@
     pub routes: Option<Arc<RouteTable>>,
 }
 
-impl Held {
+impl CurrentConfig {
     /// Returns the complete state, route table included.
     pub fn whole(&self) -> Shared {
         Shared { routes: self.routes.as_deref().cloned(), ..(*self.shared).clone() }
@@ -45,18 +46,18 @@
 
 /// Holds the current snapshot of the shared state.
 #[derive(Debug)]
-pub struct HeldCell {
-    current: RwLock<Held>,
+pub struct CurrentConfigCell {
+    current: RwLock<CurrentConfig>,
     tx: watch::Sender<Revision>,
     /// Lease of control for canaries. Locked while no other lock is held.
     canary_lease: Mutex<CanaryLease>,
 }
 
-impl Default for HeldCell {
+impl Default for CurrentConfigCell {
     fn default() -> Self {
         let revision = Revision::default();
-        let initial = Held { revision, shared: Arc::new(shared::empty()), routes: None };
-        HeldCell {
+        let initial = CurrentConfig { revision, shared: Arc::new(shared::empty()), routes: None };
+        CurrentConfigCell {
             current: RwLock::new(initial),
             tx: watch::Sender::new(revision),
             canary_lease: Mutex::default(),
@@ -64,9 +65,9 @@
     }
 }
 
-impl HeldCell {
+impl CurrentConfigCell {
     /// Returns the current snapshot.
-    pub fn get(&self) -> Held {
+    pub fn get(&self) -> CurrentConfig {
         self.current.read().clone()
     }
 
--- a/crates/cherrystream-daemon/src/doors.rs
+++ b/crates/cherrystream-daemon/src/doors.rs
@@ -1,7 +1,7 @@
 //! The doors of this host's backend servers.
 
+use crate::current_config::CurrentConfig;
 use crate::door::{Door, ServerName};
-use crate::held::Held;
 use crate::metrics::{self, Metrics, ReasonLabel, ServerLabel};
 use cherrystream_core::admission;
 use cherrystream_core::cold_rate_limit::ColdLimits;
@@ -159,7 +159,7 @@
     }
 
     /// Takes the accepted configuration. A door that goes lets those inside finish.
-    pub fn set(&self, held: &Held) {
+    pub fn set(&self, held: &CurrentConfig) {
         self.set_cold(held);
         self.set_services(held);
         self.follow_rollouts(held);
@@ -187,7 +187,7 @@
     }
 
     /// Has the door to the instance follow the roll-out of its service.
-    fn follow_rollouts(&self, held: &Held) {
+    fn follow_rollouts(&self, held: &CurrentConfig) {
         let Some(door) = self.instance() else { return };
         let known = held.shared.config.rollouts.get(&*door.id.service);
         let under_way = known.filter(|rollout| rollout::is_in_progress(rollout));
@@ -195,7 +195,7 @@
     }
 
     /// Takes what cold backend servers take.
-    fn set_cold(&self, held: &Held) {
+    fn set_cold(&self, held: &CurrentConfig) {
         let stated = held.routes.iter().flat_map(|table| &table.services);
         let limits = stated.filter_map(|(name, service)| {
             let per_second = f64::from(service.cold_milli_per_s?) / MILLI;
@@ -225,7 +225,7 @@
     }
 
     /// Takes the names of the services.
-    fn set_services(&self, held: &Held) {
+    fn set_services(&self, held: &CurrentConfig) {
         let Some(table) = &held.routes else { return };
         let listed = held.shared.config.services.keys();
         *self.services.write() = Some(table.services.keys().chain(listed).cloned().collect());
--- a/crates/cherrystream-daemon/src/inbound/mod.rs
+++ b/crates/cherrystream-daemon/src/inbound/mod.rs
@@ -5,9 +5,9 @@
 mod attempt;
 mod exchange;
 
+use crate::current_config::CurrentConfigCell;
 use crate::door::{Door, Permit};
 use crate::doors::Doors;
-use crate::held::HeldCell;
 use crate::metrics::{self, Metrics, ServerLabel};
 use crate::refusal::Refused;
 use crate::suspects::{AlonePlace, SuspectWatch};
@@ -120,7 +120,7 @@
     pub(crate) attempts: Mutex<Attempts<HeldAnswer>>,
     /// Slots kept for calls whose bodies follow. Taken before a door's admission, never with it.
     pub(crate) reservations: Mutex<Reservations<Permit>>,
-    pub(crate) held: Arc<HeldCell>,
+    pub(crate) held: Arc<CurrentConfigCell>,
     pub(crate) host: Arc<str>,
     pub(crate) phases: Phases,
     /// Time after which a long answer that its reader does not take is broken off.
--- a/crates/cherrystream-daemon/src/lib.rs
+++ b/crates/cherrystream-daemon/src/lib.rs
@@ -7,11 +7,11 @@
 
 #![forbid(unsafe_code)]
 
+pub mod current_config;
 pub mod door;
 pub mod doors;
 pub mod errors;
 pub mod headers;
-pub mod held;
 pub mod hop;
 pub mod inbound;
 pub mod instances;
--- a/crates/cherrystream-daemon/src/outbound/at_most_once.rs
+++ b/crates/cherrystream-daemon/src/outbound/at_most_once.rs
@@ -2,8 +2,8 @@
 
 use super::request::Call;
 use super::{AttemptResult, Outbound};
+use crate::current_config::CurrentConfig;
 use crate::headers::{self, Op};
-use crate::held::Held;
 use crate::inbound::Fate;
 use crate::peer_server;
 use crate::refusal::Refused;
@@ -63,7 +63,7 @@
         &self,
         call: &mut Call,
         key: Arc<str>,
-        held: &Held,
+        held: &CurrentConfig,
     ) -> AttemptResult {
         let mut not_run: Option<Holder> = None;
         let mut query_count = 0;
@@ -119,7 +119,7 @@
         &self,
         call: &Call,
         key: &Arc<str>,
-        held: &Held,
+        held: &CurrentConfig,
         server: &ServerId,
         not_run: Option<Holder>,
     ) -> Result<ClaimRequest, Refused> {
@@ -141,7 +141,7 @@
 
     /// Returns the incarnation of a backend server's inbound, from its load reports, or else from
     /// its registration.
-    fn incarnation(&self, call: &Call, held: &Held, server: &ServerId) -> Option<u64> {
+    fn incarnation(&self, call: &Call, held: &CurrentConfig, server: &ServerId) -> Option<u64> {
         if *server.host == *self.host {
             return Some(self.inbound.incarnation);
         }
@@ -188,7 +188,7 @@
         &self,
         call: &Call,
         key: &Arc<str>,
-        held: &Held,
+        held: &CurrentConfig,
         earlier: EarlierAttempt,
     ) -> EarlierOutcome {
         let EarlierAttempt { holder, released, age_ms, index } = earlier;
@@ -222,7 +222,7 @@
     async fn query_fate(
         &self,
         call: &Call,
-        held: &Held,
+        held: &CurrentConfig,
         holder: &Holder,
         fence_request: FenceRequest,
     ) -> RemoteFate {
@@ -237,7 +237,7 @@
 
     async fn query_peer(
         &self,
-        held: &Held,
+        held: &CurrentConfig,
         holder: &Holder,
         fence_request: &FenceRequest,
     ) -> Option<RemoteFate> {
--- a/crates/cherrystream-daemon/src/outbound/destination.rs
+++ b/crates/cherrystream-daemon/src/outbound/destination.rs
@@ -2,8 +2,8 @@
 
 use super::Outbound;
 use super::request::Member;
+use crate::current_config::CurrentConfig;
 use crate::headers;
-use crate::held::Held;
 use crate::refusal::Refused;
 use cherrystream_core::kinds::{self, Treatment};
 use cherrystream_core::reasons::Reason;
@@ -30,7 +30,7 @@
 /// Reads the head of a request; checks its route, workspace key and idempotency key.
 pub(super) fn read_head(
     outbound: &Outbound,
-    held: &Held,
+    held: &CurrentConfig,
     parts: &request::Parts,
     caller: Result<CallerHead, Reason>,
 ) -> Result<ParsedHead, Refused> {
@@ -55,7 +55,7 @@
 /// Finds the route of a request, or else the service named in it.
 fn find_destination(
     outbound: &Outbound,
-    held: &Held,
+    held: &CurrentConfig,
     parts: &request::Parts,
     key: Option<&ApiKey>,
 ) -> Result<Destination, Refused> {
--- a/crates/cherrystream-daemon/src/outbound/hedging.rs
+++ b/crates/cherrystream-daemon/src/outbound/hedging.rs
@@ -2,7 +2,7 @@
 
 use super::request::Call;
 use super::{AttemptResult, Outbound};
-use crate::held::Held;
+use crate::current_config::CurrentConfig;
 use crate::refusal::Refused;
 use cherrystream_core::choose::ServerId;
 use cherrystream_core::retry;
@@ -16,7 +16,7 @@
     pub(super) async fn attempt_hedged(
         &self,
         call: &mut Call,
-        held: &Held,
+        held: &CurrentConfig,
         server: &ServerId,
     ) -> AttemptResult {
         // A hedged attempt of a request that crashes backend servers could crash another one.
--- a/crates/cherrystream-daemon/src/outbound/mod.rs
+++ b/crates/cherrystream-daemon/src/outbound/mod.rs
@@ -13,8 +13,8 @@
 mod send;
 mod server_lists;
 
+use crate::current_config::{CurrentConfig, CurrentConfigCell};
 use crate::headers;
-use crate::held::{Held, HeldCell};
 use crate::inbound::Inbound;
 use crate::ledger::Ledger;
 use crate::metrics::{self, CallLabels, Metrics};
@@ -93,7 +93,7 @@
     pub(crate) host: Arc<str>,
     pub(crate) record: HostRecord,
     pub(crate) policy: ChoicePolicy,
-    pub(crate) held: Arc<HeldCell>,
+    pub(crate) held: Arc<CurrentConfigCell>,
     pub(crate) tables: RwLock<Tables>,
     pub(crate) inbound: Arc<Inbound>,
     pub(crate) peers: Arc<Peers>,
@@ -167,7 +167,7 @@
     }
 
     /// Executes a request, unless this process stops first.
-    async fn execute_until_stop(&self, call: &mut Call, held: &Held) -> AttemptResult {
+    async fn execute_until_stop(&self, call: &mut Call, held: &CurrentConfig) -> AttemptResult {
         let stopped = async {
             self.phases.reached(Phase::Ending).await;
             tokio::time::sleep(INBOUND_GRACE).await;
@@ -185,7 +185,7 @@
         result.map_err(|refused| call.final_refusal(refused))
     }
 
-    async fn execute(&self, call: &mut Call, held: &Held) -> AttemptResult {
+    async fn execute(&self, call: &mut Call, held: &CurrentConfig) -> AttemptResult {
         match call.key.clone() {
             Some(key) => self.run_once(call, key, held).await,
             None => self.run(call, held).await,
@@ -193,7 +193,7 @@
     }
 
     /// Makes attempts until a backend server answers or no retry is allowed.
-    async fn run(&self, call: &mut Call, held: &Held) -> AttemptResult {
+    async fn run(&self, call: &mut Call, held: &CurrentConfig) -> AttemptResult {
         call.try_canary = self.draws_canary(call);
         loop {
             call.check_key(&self.routes())?;
--- a/crates/cherrystream-daemon/src/outbound/request.rs
+++ b/crates/cherrystream-daemon/src/outbound/request.rs
@@ -4,8 +4,8 @@
 use super::destination::{self, Destination, ParsedHead};
 use super::regions::Regions;
 use super::replay::{self, MAX_BUFFERED_BYTES, Replay};
+use crate::current_config::CurrentConfig;
 use crate::headers;
-use crate::held::Held;
 use crate::refusal::Refused;
 use crate::request_log::RequestSummary;
 use cherrystream_core::deadline::Deadline;
@@ -228,7 +228,7 @@
 /// Reads the head of a request, and its body if it is short.
 pub(super) async fn read(
     outbound: &Outbound,
-    held: &Held,
+    held: &CurrentConfig,
     arrived: Arrived,
 ) -> Result<Call, Refused> {
     let Arrived { head: parts, caller, body } = arrived;
--- a/crates/cherrystream-daemon/src/outbound/reserving.rs
+++ b/crates/cherrystream-daemon/src/outbound/reserving.rs
@@ -11,8 +11,8 @@
 use super::Outbound;
 use super::request::Call;
 use super::send::{self, Permits};
+use crate::current_config::CurrentConfig;
 use crate::headers::Op;
-use crate::held::Held;
 use crate::hop;
 use crate::refusal::Refused;
 use cherrystream_core::choose::ServerId;
@@ -42,7 +42,7 @@
     pub(super) async fn reserve(
         &self,
         call: &Call,
-        held: &Held,
+        held: &CurrentConfig,
         server: &ServerId,
     ) -> Result<Reservation, Refused> {
         if *server.host == *self.host {
@@ -82,7 +82,7 @@
     async fn reserve_remote(
         &self,
         call: &Call,
-        held: &Held,
+        held: &CurrentConfig,
         server: &ServerId,
     ) -> Result<Reservation, Refused> {
         let unreachable = Refused::new(Reason::PeerUnreachable);
--- a/crates/cherrystream-daemon/src/outbound/send.rs
+++ b/crates/cherrystream-daemon/src/outbound/send.rs
@@ -2,8 +2,8 @@
 
 use super::request::Call;
 use super::{AttemptResult, Outbound};
+use crate::current_config::CurrentConfig;
 use crate::headers::{self, Op};
-use crate::held::Held;
 use crate::hop;
 use crate::inbound::{HELD_BYTES, InboundCall};
 use crate::peer::{Line, NoAnswer};
@@ -38,7 +38,7 @@
     pub(super) async fn attempt(
         &self,
         call: &mut Call,
-        held: &Held,
+        held: &CurrentConfig,
         server: &ServerId,
         claimed: Option<Claimed>,
     ) -> AttemptResult {
@@ -68,7 +68,7 @@
     async fn attempt_within(
         &self,
         call: &mut Call,
-        held: &Held,
+        held: &CurrentConfig,
         server: &ServerId,
         claimed: Option<Claimed>,
     ) -> AttemptResult {
@@ -147,7 +147,7 @@
     async fn send_remote(
         &self,
         call: &mut Call,
-        held: &Held,
+        held: &CurrentConfig,
         server: &ServerId,
         permits: Permits,
     ) -> AttemptResult {
--- a/crates/cherrystream-daemon/src/outbound/server_lists.rs
+++ b/crates/cherrystream-daemon/src/outbound/server_lists.rs
@@ -1,7 +1,7 @@
 //! Updates the lists of backend servers from the current configuration.
 
 use super::{MAX_SAVED_HEDGES, Outbound, ServiceBalancer};
-use crate::held::Held;
+use crate::current_config::CurrentConfig;
 use cherrystream_core::choose::{self, Distance, ServerId, Table};
 use cherrystream_core::retry::RetryBudget;
 use cherrystream_core::routes::RouteIndex;
@@ -15,7 +15,7 @@
 
 impl Outbound {
     /// Applies a configuration.
-    pub fn set(&self, held: &Held) {
+    pub fn set(&self, held: &CurrentConfig) {
         self.set_routes(held);
         let shared = &held.shared;
         self.quotas.set(shared, self.routes());
@@ -45,7 +45,7 @@
 
     /// Builds the index of routes and workspaces. It is rebuilt only when these change, as tables
     /// may be long.
-    fn set_routes(&self, held: &Held) {
+    fn set_routes(&self, held: &CurrentConfig) {
         let (table, config) = (held.routes.as_deref(), &held.shared.config);
         let number = table.map_or(0, |table| table.number);
         if !self.routes.read().is_of(number, config) {
@@ -75,7 +75,7 @@
     }
 
     /// Adds the registered instances, and the services named in routes.
-    fn add_instances(&self, held: &Held, lists: &mut BTreeMap<Arc<str>, Vec<ServerId>>) {
+    fn add_instances(&self, held: &CurrentConfig, lists: &mut BTreeMap<Arc<str>, Vec<ServerId>>) {
         let shared = &held.shared;
         for service in held.routes.iter().flat_map(|table| table.services.keys()) {
             lists.entry(service.as_str().into()).or_default();
--- a/crates/cherrystream-daemon/src/peer_server.rs
+++ b/crates/cherrystream-daemon/src/peer_server.rs
@@ -1,7 +1,7 @@
 //! The port for the daemons of other hosts.
 
+use crate::current_config::{CurrentConfig, CurrentConfigCell};
 use crate::headers::{self, Op};
-use crate::held::{Held, HeldCell};
 use crate::hop;
 use crate::inbound::{Inbound, InboundCall};
 use crate::metrics::Metrics;
@@ -42,7 +42,7 @@
     /// Requests that end backend servers.
     pub suspects: Arc<SuspectWatch>,
     /// Shared state held.
-    pub held: Arc<HeldCell>,
+    pub held: Arc<CurrentConfigCell>,
     /// Encoded updates that other daemons may fetch here.
     pub library: Arc<Mutex<Library>>,
     /// Key of requests' fingerprints.
@@ -203,7 +203,7 @@
     }
 
     /// Encodes the whole state held, unless that was done before.
-    fn whole(&self, held: &Held) -> StateId {
+    fn whole(&self, held: &CurrentConfig) -> StateId {
         let mut library = self.library.lock();
         let newest = library.furthest(Revision::default()).map(Encoded::id);
         if let Some(id) = newest.filter(|id| id.to == held.revision) {
--- a/crates/cherrystream-daemon/src/quotas.rs
+++ b/crates/cherrystream-daemon/src/quotas.rs
@@ -1,7 +1,7 @@
 //! Quotas over all hosts: decides on requests where they are read, and exchanges batches with the daemons of other hosts.
 
+use crate::current_config::CurrentConfigCell;
 use crate::headers::{self, Op};
-use crate::held::HeldCell;
 use crate::metrics::Metrics;
 use crate::peer::Peers;
 use crate::refusal::Refused;
@@ -51,7 +51,7 @@
 /// What the exchange of batches needs.
 pub struct Tools {
     /// Shared state held.
-    pub held: Arc<HeldCell>,
+    pub held: Arc<CurrentConfigCell>,
     /// Connections to other daemons.
     pub peers: Arc<Peers>,
     /// Key of the system's own processes.
--- a/crates/cherrystream-daemon/src/role.rs
+++ b/crates/cherrystream-daemon/src/role.rs
@@ -1,8 +1,8 @@
 //! Puts the parts of the daemon role together.
 
+use crate::current_config::CurrentConfigCell;
 use crate::doors::{DoorOptions, Doors};
 use crate::errors::Result;
-use crate::held::HeldCell;
 use crate::inbound::Inbound;
 use crate::instances::Instances;
 use crate::ledger::Ledger;
@@ -68,7 +68,7 @@
     callers: JoinHandle<()>,
     peers: JoinHandle<()>,
     inbound: Arc<Inbound>,
-    held: Arc<HeldCell>,
+    held: Arc<CurrentConfigCell>,
 }
 
 impl Daemon {
@@ -84,7 +84,7 @@
         let record = record(all, settings, &peer_listener);
         let fingerprints = FingerprintKey::new(cx.key.as_ref().map(Secret::expose));
         let clock = Clock::default();
-        let held = Arc::new(HeldCell::default());
+        let held = Arc::new(CurrentConfigCell::default());
         let peers = Arc::new(Peers::new(cx.metrics.clone()));
         let newer = Arc::new(Newer::default());
         let routes_only = all.interface == Some(InterfaceKind::Platform);
@@ -253,7 +253,7 @@
     }
 
     /// Returns the shared state held.
-    pub fn held(&self) -> &Arc<HeldCell> {
+    pub fn held(&self) -> &Arc<CurrentConfigCell> {
         &self.held
     }
 
@@ -323,7 +323,7 @@
 /// Puts each revision in force that is taken.
 async fn put_in_force(
     mut revisions: watch::Receiver<Revision>,
-    held: Arc<HeldCell>,
+    held: Arc<CurrentConfigCell>,
     outbound: Arc<Outbound>,
     inbound: Arc<Inbound>,
 ) {
--- a/crates/cherrystream-daemon/src/suspects/mod.rs
+++ b/crates/cherrystream-daemon/src/suspects/mod.rs
@@ -9,9 +9,9 @@
 pub use at_work::{AlonePlace, AtWork};
 pub use telling::read_bytes;
 
+use crate::current_config::CurrentConfigCell;
 use crate::door::Door;
 use crate::doors::Doors;
-use crate::held::HeldCell;
 use crate::metrics::{Metrics, SuspectLabel};
 use crate::peer::Peers;
 use cherrystream_core::log_budget::LogBudget;
@@ -40,7 +40,7 @@
     /// Doors of this host.
     pub doors: Arc<Doors>,
     /// Shared state held.
-    pub held: Arc<HeldCell>,
+    pub held: Arc<CurrentConfigCell>,
     /// Connections to other daemons.
     pub peers: Arc<Peers>,
     /// Key of the system's own processes.
--- a/crates/cherrystream-daemon/src/sync/downloads.rs
+++ b/crates/cherrystream-daemon/src/sync/downloads.rs
@@ -1,7 +1,7 @@
 //! Fetches long updates in chunks, from peers nearby or from control.
 
+use crate::current_config::CurrentConfigCell;
 use crate::headers::{self, Op};
-use crate::held::HeldCell;
 use crate::metrics::{Metrics, ReasonLabel};
 use crate::peer::Peers;
 use cherrystream_core::distribution::{Download, Encoded, Library, Taken};
@@ -68,7 +68,7 @@
 /// What the downloads of a daemon use.
 pub struct Tools {
     /// Shared state held.
-    pub held: Arc<HeldCell>,
+    pub held: Arc<CurrentConfigCell>,
     /// Encoded updates that other daemons may fetch here.
     pub library: Arc<Mutex<Library>>,
     /// Connections to peers.
--- a/crates/cherrystream-daemon/src/sync/mod.rs
+++ b/crates/cherrystream-daemon/src/sync/mod.rs
@@ -6,8 +6,8 @@
 pub use downloads::{Downloads, Tools};
 pub use newer::{Newer, Seen};
 
+use crate::current_config::{CurrentConfig, CurrentConfigCell};
 use crate::headers::{self, Op};
-use crate::held::{Held, HeldCell};
 use crate::instances::Instances;
 use crate::metrics::{Metrics, ReasonLabel};
 use crate::peer::Peers;
@@ -58,7 +58,7 @@
 /// Keeps the shared state up to date.
 pub struct Sync {
     /// Shared state held.
-    pub held: Arc<HeldCell>,
+    pub held: Arc<CurrentConfigCell>,
     /// Registration of this host.
     pub record: HostRecord,
     /// The control replicas. Taken with no other lock.
@@ -288,7 +288,7 @@
     /// Shows each revision that is held, however it came.
     pub async fn show_revisions(self: Arc<Self>, mut revisions: watch::Receiver<Revision>) {
         while revisions.changed().await.is_ok() {
-            let Held { revision, routes, .. } = self.held.get();
+            let CurrentConfig { revision, routes, .. } = self.held.get();
             self.metrics.revision_index.set(revision.index as i64);
             self.metrics.revision_term.set(revision.term as i64);
             let serves = !self.routes_only || routes.is_some();
--- a/crates/cherrystream-daemon/tests/quotas.rs
+++ b/crates/cherrystream-daemon/tests/quotas.rs
@@ -6,7 +6,7 @@
 use cherrystream_core::shared;
 use cherrystream_core::units::Revision;
 use cherrystream_core::workspaces::{NamedWorkspace, Quota};
-use cherrystream_daemon::held::HeldCell;
+use cherrystream_daemon::current_config::CurrentConfigCell;
 use cherrystream_daemon::metrics::Metrics;
 use cherrystream_daemon::peer::Peers;
 use cherrystream_daemon::quotas::{self, Quotas, Tools};
@@ -100,7 +100,7 @@
 /// The quotas of a host that joins the daemons, with the state that all hold.
 fn asker(addresses: &[String]) -> (Arc<Quotas>, Metrics) {
     let metrics = Metrics::default();
-    let held = Arc::new(HeldCell::default());
+    let held = Arc::new(CurrentConfigCell::default());
     assert!(held.take(update(addresses)));
     let tools = Tools {
         held: held.clone(),
--- a/crates/cherrystream-daemon/tests/reports.rs
+++ b/crates/cherrystream-daemon/tests/reports.rs
@@ -3,8 +3,8 @@
 use cherrystream_core::instances::InstanceReport;
 use cherrystream_core::shared;
 use cherrystream_core::units::Revision;
+use cherrystream_daemon::current_config::CurrentConfig;
 use cherrystream_daemon::doors::{DoorOptions, Doors};
-use cherrystream_daemon::held::Held;
 use cherrystream_daemon::instances::Instances;
 use cherrystream_daemon::metrics::{Metrics, ReasonLabel};
 use cherrystream_daemon::own_interface::OwnInterface;
@@ -99,7 +99,8 @@
         workspaces: BTreeMap::new(),
     };
     let revision = Revision { term: 1, index: 1 };
-    let held = Held { revision, shared: Arc::new(shared::empty()), routes: Some(table.into()) };
+    let held =
+        CurrentConfig { revision, shared: Arc::new(shared::empty()), routes: Some(table.into()) };
     doors.set(&held);
     let instances = instances_at(&doors);
     let record = InstanceRecord {
