--- a/crates/cherrystream-daemon/src/outbound/at_most_once.rs
+++ b/crates/cherrystream-daemon/src/outbound/at_most_once.rs
@@ -63,7 +63,7 @@
         &self,
         call: &mut Call,
         key: Arc<str>,
-        held: &CurrentConfig,
+        current: &CurrentConfig,
     ) -> AttemptResult {
         let mut not_run: Option<Holder> = None;
         let mut query_count = 0;
@@ -81,11 +81,11 @@
                 return Err(refused);
             }
             let server = self.choose(call)?;
-            let req = self.claim_request(call, &key, held, &server, not_run.take())?;
+            let req = self.claim_request(call, &key, current, &server, not_run.take())?;
             match self.claim(call, &req).await? {
                 ClaimReply::Granted { index } => {
                     let granted = granted_claim(&req, index);
-                    let result = self.attempt(call, held, &server, Some(granted.claimed)).await;
+                    let result = self.attempt(call, current, &server, Some(granted.claimed)).await;
                     match self.after_attempt(call, &key, granted, result) {
                         AfterAttempt::Retry(holder) => not_run = Some(holder),
                         AfterAttempt::Final(result) => return result,
@@ -101,7 +101,7 @@
                         return Err(Refused::new(Reason::StillRunning));
                     }
                     let earlier = EarlierAttempt { holder, released, age_ms, index };
-                    not_run = match self.resolve_earlier(call, &key, held, earlier).await {
+                    not_run = match self.resolve_earlier(call, &key, current, earlier).await {
                         EarlierOutcome::NotRun(holder) => Some(holder),
                         EarlierOutcome::Final(result) => return result,
                     };
@@ -119,12 +119,12 @@
         &self,
         call: &Call,
         key: &Arc<str>,
-        held: &CurrentConfig,
+        current: &CurrentConfig,
         server: &ServerId,
         not_run: Option<Holder>,
     ) -> Result<ClaimRequest, Refused> {
         let incarnation = self
-            .incarnation(call, held, server)
+            .incarnation(call, current, server)
             .ok_or_else(|| Refused::new(Reason::PeerUnreachable))?;
         Ok(ClaimRequest {
             service: call.service.to_string(),
@@ -141,12 +141,12 @@
 
     /// Returns the incarnation of a backend server's inbound, from its load reports, or else from
     /// its registration.
-    fn incarnation(&self, call: &Call, held: &CurrentConfig, server: &ServerId) -> Option<u64> {
+    fn incarnation(&self, call: &Call, current: &CurrentConfig, server: &ServerId) -> Option<u64> {
         if *server.host == *self.host {
             return Some(self.inbound.incarnation);
         }
         let reported = self.with_server(call, server, |s, _| s.incarnation()).flatten();
-        reported.or_else(|| held.shared.hosts.get(&*server.host).map(|h| h.incarnation))
+        reported.or_else(|| current.shared.hosts.get(&*server.host).map(|h| h.incarnation))
     }
 
     async fn claim(&self, call: &Call, req: &ClaimRequest) -> Result<ClaimReply, Refused> {
@@ -188,7 +188,7 @@
         &self,
         call: &Call,
         key: &Arc<str>,
-        held: &CurrentConfig,
+        current: &CurrentConfig,
         earlier: EarlierAttempt,
     ) -> EarlierOutcome {
         let EarlierAttempt { holder, released, age_ms, index } = earlier;
@@ -204,7 +204,7 @@
             incarnation: holder.incarnation,
             forbid: age_ms >= FENCE_AFTER_MS,
         };
-        let fate = self.query_fate(call, held, &holder, fence_request).await;
+        let fate = self.query_fate(call, current, &holder, fence_request).await;
         let reason = match (fate.state, fate.answer) {
             (AttemptState::Fenced, _) => return EarlierOutcome::NotRun(holder),
             (AttemptState::Answered, Some(answer)) => {
@@ -222,7 +222,7 @@
     async fn query_fate(
         &self,
         call: &Call,
-        held: &CurrentConfig,
+        current: &CurrentConfig,
         holder: &Holder,
         fence_request: FenceRequest,
     ) -> RemoteFate {
@@ -231,17 +231,17 @@
         }
         let max_wait = self.ledger_timeout(call);
         let fate =
-            tokio::time::timeout(max_wait, self.query_peer(held, holder, &fence_request)).await;
+            tokio::time::timeout(max_wait, self.query_peer(current, holder, &fence_request)).await;
         fate.ok().flatten().unwrap_or_default()
     }
 
     async fn query_peer(
         &self,
-        held: &CurrentConfig,
+        current: &CurrentConfig,
         holder: &Holder,
         fence_request: &FenceRequest,
     ) -> Option<RemoteFate> {
-        let address = &held.shared.hosts.get(&holder.host)?.peer_address;
+        let address = &current.shared.hosts.get(&holder.host)?.peer_address;
         let text = serde_json::to_vec(fence_request).ok()?;
         let mut req = Request::post(format!("http://{address}/")).body(body::full(text)).ok()?;
         headers::set_static(req.headers_mut(), headers::OP, Op::Fence.as_str());
--- a/crates/cherrystream-daemon/src/outbound/destination.rs
+++ b/crates/cherrystream-daemon/src/outbound/destination.rs
@@ -30,12 +30,12 @@
 /// Reads the head of a request; checks its route, workspace key and idempotency key.
 pub(super) fn read_head(
     outbound: &Outbound,
-    held: &CurrentConfig,
+    current: &CurrentConfig,
     parts: &request::Parts,
     caller: Result<CallerHead, Reason>,
 ) -> Result<ParsedHead, Refused> {
     let head = caller.map_err(Refused::new)?;
-    let destination = find_destination(outbound, held, parts, head.key.as_ref())?;
+    let destination = find_destination(outbound, current, parts, head.key.as_ref())?;
     let key = read_key(&parts.headers, &destination.treatment)?;
     Ok(ParsedHead { head, destination, key, uri: target(parts)? })
 }
@@ -55,7 +55,7 @@
 /// Finds the route of a request, or else the service named in it.
 fn find_destination(
     outbound: &Outbound,
-    held: &CurrentConfig,
+    current: &CurrentConfig,
     parts: &request::Parts,
     key: Option<&ApiKey>,
 ) -> Result<Destination, Refused> {
@@ -68,7 +68,7 @@
         }
     }
     if outbound.routes_only {
-        let has_routes = held.routes.is_some();
+        let has_routes = current.routes.is_some();
         return Err(Refused::new(if has_routes {
             Reason::NoRoute
         } else {
@@ -80,7 +80,7 @@
     // Authenticates before the look-up, so that callers without a key cannot probe for services.
     let admitted = admit(&routes, key, false)?;
     let service =
-        held.shared.config.services.get(name).ok_or(Refused::new(Reason::NoSuchService))?;
+        current.shared.config.services.get(name).ok_or(Refused::new(Reason::NoSuchService))?;
     let treatment = kinds::treatment(service, parts.method.as_str(), parts.uri.path());
     let Admission { member, strips_key } = admitted;
     Ok(Destination { service: name.into(), treatment, route: None, member, strips_key })
--- a/crates/cherrystream-daemon/src/outbound/hedging.rs
+++ b/crates/cherrystream-daemon/src/outbound/hedging.rs
@@ -16,17 +16,17 @@
     pub(super) async fn attempt_hedged(
         &self,
         call: &mut Call,
-        held: &CurrentConfig,
+        current: &CurrentConfig,
         server: &ServerId,
     ) -> AttemptResult {
         // A hedged attempt of a request that crashes backend servers could crash another one.
         let is_clear = self.suspects.judge(call.identity.request) == Treatment::Clear;
         let Some(mut second) = call.fork_for_hedge().filter(|_| is_clear) else {
-            return self.attempt(call, held, server, None).await;
+            return self.attempt(call, current, server, None).await;
         };
         let wait = second.times.and_then(|times| times.hedge_after).unwrap_or_default();
         let (other, answered) = {
-            let first = self.attempt(call, held, server, None);
+            let first = self.attempt(call, current, server, None);
             tokio::pin!(first);
             if let Ok(result) = tokio::time::timeout(wait, first.as_mut()).await {
                 return result;
@@ -34,7 +34,7 @@
             let Some(other) = self.choose_hedge(&mut second, server) else {
                 return first.await;
             };
-            let hedge = self.attempt(&mut second, held, &other, None);
+            let hedge = self.attempt(&mut second, current, &other, None);
             let answered = first_answer(first, hedge).await;
             (other, answered)
         };
--- a/crates/cherrystream-daemon/src/outbound/mod.rs
+++ b/crates/cherrystream-daemon/src/outbound/mod.rs
@@ -93,7 +93,7 @@
     pub(crate) host: Arc<str>,
     pub(crate) record: HostRecord,
     pub(crate) policy: ChoicePolicy,
-    pub(crate) held: Arc<CurrentConfigCell>,
+    pub(crate) current_config: Arc<CurrentConfigCell>,
     pub(crate) tables: RwLock<Tables>,
     pub(crate) inbound: Arc<Inbound>,
     pub(crate) peers: Arc<Peers>,
@@ -126,18 +126,18 @@
     /// Answers a request of a caller.
     pub async fn answer(self: Arc<Self>, req: Request<Incoming>) -> Response<Body> {
         let started = self.clock.now();
-        let held = self.held.get();
+        let current = self.current_config.get();
         let (head, incoming) = req.into_parts();
         let caller = self.interface.read_caller(&head);
         let id = caller.as_ref().ok().and_then(|caller| caller.id.clone());
         let key = caller.as_ref().ok().and_then(|caller| caller.key.clone());
         let arrived = request::Arrived { head, caller, body: body::incoming(incoming) };
-        let (mut summary, result) = match request::read(&self, &held, arrived).await {
+        let (mut summary, result) = match request::read(&self, &current, arrived).await {
             Ok(mut call) => {
                 if let Some(table) = self.table(&call.service) {
                     table.lock().on_call();
                 }
-                let result = self.execute_until_stop(&mut call, &held).await;
+                let result = self.execute_until_stop(&mut call, &current).await;
                 self.refund_unused(&call, &result);
                 (call.summary(), result)
             }
@@ -152,7 +152,7 @@
         if reason == Some(Reason::UnknownKey) {
             summary.key = key.map(|key| key.fingerprint());
         }
-        self.request_log.finish(now, &summary, reason, took, held.revision);
+        self.request_log.finish(now, &summary, reason, took, current.revision);
         self.metrics.call_seconds.observe(took.as_secs_f64());
         self.write_answer(summary, id, result)
     }
@@ -167,13 +167,13 @@
     }
 
     /// Executes a request, unless this process stops first.
-    async fn execute_until_stop(&self, call: &mut Call, held: &CurrentConfig) -> AttemptResult {
+    async fn execute_until_stop(&self, call: &mut Call, current: &CurrentConfig) -> AttemptResult {
         let stopped = async {
             self.phases.reached(Phase::Ending).await;
             tokio::time::sleep(INBOUND_GRACE).await;
         };
         let result = tokio::select! {
-            result = self.execute(call, held) => result,
+            result = self.execute(call, current) => result,
             () = stopped => Err(Refused::new(match call.is_in_flight() {
                 true => Reason::HostEnded,
                 false => Reason::HostLeaving,
@@ -185,15 +185,15 @@
         result.map_err(|refused| call.final_refusal(refused))
     }
 
-    async fn execute(&self, call: &mut Call, held: &CurrentConfig) -> AttemptResult {
+    async fn execute(&self, call: &mut Call, current: &CurrentConfig) -> AttemptResult {
         match call.key.clone() {
-            Some(key) => self.run_once(call, key, held).await,
-            None => self.run(call, held).await,
+            Some(key) => self.run_once(call, key, current).await,
+            None => self.run(call, current).await,
         }
     }
 
     /// Makes attempts until a backend server answers or no retry is allowed.
-    async fn run(&self, call: &mut Call, held: &CurrentConfig) -> AttemptResult {
+    async fn run(&self, call: &mut Call, current: &CurrentConfig) -> AttemptResult {
         call.try_canary = self.draws_canary(call);
         loop {
             call.check_key(&self.routes())?;
@@ -206,7 +206,7 @@
                 }
             };
             let selective = call.is_selective();
-            let result = self.attempt_hedged(call, held, &server).await;
+            let result = self.attempt_hedged(call, current, &server).await;
             let busy = matches!(&result, Err(refused) if refused.reason == Reason::BusyNow);
             if selective && !busy {
                 call.tried.push(server.name.clone());
--- a/crates/cherrystream-daemon/src/outbound/regions.rs
+++ b/crates/cherrystream-daemon/src/outbound/regions.rs
@@ -38,7 +38,7 @@
         if call.regions.0.is_none() {
             return Vec::new();
         }
-        let shared = self.held.get().shared;
+        let shared = self.current_config.get().shared;
         let disallowed = table.ids().filter(|server| call.regions.disallows(&shared, server));
         disallowed.map(|server| server.name.clone()).collect()
     }
--- a/crates/cherrystream-daemon/src/outbound/request.rs
+++ b/crates/cherrystream-daemon/src/outbound/request.rs
@@ -228,11 +228,11 @@
 /// Reads the head of a request, and its body if it is short.
 pub(super) async fn read(
     outbound: &Outbound,
-    held: &CurrentConfig,
+    current: &CurrentConfig,
     arrived: Arrived,
 ) -> Result<Call, Refused> {
     let Arrived { head: parts, caller, body } = arrived;
-    let parsed = match destination::read_head(outbound, held, &parts, caller) {
+    let parsed = match destination::read_head(outbound, current, &parts, caller) {
         Ok(parsed) => parsed,
         Err(refused) => {
             // Further requests may follow on the same connection.
--- a/crates/cherrystream-daemon/src/outbound/reserving.rs
+++ b/crates/cherrystream-daemon/src/outbound/reserving.rs
@@ -42,7 +42,7 @@
     pub(super) async fn reserve(
         &self,
         call: &Call,
-        held: &CurrentConfig,
+        current: &CurrentConfig,
         server: &ServerId,
     ) -> Result<Reservation, Refused> {
         if *server.host == *self.host {
@@ -50,7 +50,7 @@
         }
         let remaining = call.deadline.remaining(self.clock.now()).unwrap_or_default();
         let limit = self.response_timeout(call);
-        let pending = self.reserve_remote(call, held, server);
+        let pending = self.reserve_remote(call, current, server);
         match tokio::time::timeout(remaining.min(limit), pending).await {
             Ok(reserved) => reserved,
             Err(_) if limit < remaining => Err(Refused::new(Reason::PeerUnreachable)),
@@ -82,11 +82,11 @@
     async fn reserve_remote(
         &self,
         call: &Call,
-        held: &CurrentConfig,
+        current: &CurrentConfig,
         server: &ServerId,
     ) -> Result<Reservation, Refused> {
         let unreachable = Refused::new(Reason::PeerUnreachable);
-        let address = &held.shared.hosts.get(&*server.host).ok_or(unreachable)?.peer_address;
+        let address = &current.shared.hosts.get(&*server.host).ok_or(unreachable)?.peer_address;
         let mut req = Request::new(body::empty());
         self.set_peer_headers(req.headers_mut(), Op::Reserve, call, server, Permits::default());
         *req.uri_mut() = send::peer_target(call, address)?;
--- a/crates/cherrystream-daemon/src/outbound/send.rs
+++ b/crates/cherrystream-daemon/src/outbound/send.rs
@@ -38,14 +38,14 @@
     pub(super) async fn attempt(
         &self,
         call: &mut Call,
-        held: &CurrentConfig,
+        current: &CurrentConfig,
         server: &ServerId,
         claimed: Option<Claimed>,
     ) -> AttemptResult {
         let started = self.clock.now();
         let max_wait = self.remaining_wait(call);
         let _flight = InFlightGuard::start(self, call, server);
-        let result = self.attempt_within(call, held, server, claimed).await;
+        let result = self.attempt_within(call, current, server, claimed).await;
         let took = self.clock.now().since(started);
         self.with_server(call, server, |s, now| match &result {
             Ok(res) if res.status().is_server_error() => s.on_error(now),
@@ -68,7 +68,7 @@
     async fn attempt_within(
         &self,
         call: &mut Call,
-        held: &CurrentConfig,
+        current: &CurrentConfig,
         server: &ServerId,
         claimed: Option<Claimed>,
     ) -> AttemptResult {
@@ -77,7 +77,7 @@
         };
         let needs_reservation = call.body.needs_reservation() || self.must_reserve(call, server);
         let reservation = match claimed.is_none() && needs_reservation {
-            true => Some(self.reserve(call, held, server).await?),
+            true => Some(self.reserve(call, current, server).await?),
             false => None,
         };
         if reservation.is_some() {
@@ -90,7 +90,7 @@
             let res = if *server.host == *self.host {
                 self.send_local(call, server, permits).await?
             } else {
-                self.send_remote(call, held, server, permits).await?
+                self.send_remote(call, current, server, permits).await?
             };
             buffer_if_short(res).await
         };
@@ -147,11 +147,11 @@
     async fn send_remote(
         &self,
         call: &mut Call,
-        held: &CurrentConfig,
+        current: &CurrentConfig,
         server: &ServerId,
         permits: Permits,
     ) -> AttemptResult {
-        let Some(record) = held.shared.hosts.get(&*server.host) else {
+        let Some(record) = current.shared.hosts.get(&*server.host) else {
             return Err(Refused::new(Reason::PeerUnreachable));
         };
         let mut req = self.build_request(call)?;
@@ -269,7 +269,7 @@
     ) -> Option<hop::AnswerHead> {
         if let Some(revision) = headers::text(map, &headers::REVISION)
             .and_then(units::read_revision)
-            .filter(|revision| *revision > self.held.revision())
+            .filter(|revision| *revision > self.current_config.revision())
         {
             let near = matches!(server.distance, Distance::SameHost | Distance::SameDomain);
             self.newer.see(Seen { address: address.into(), revision, near });
--- a/crates/cherrystream-daemon/src/outbound/server_lists.rs
+++ b/crates/cherrystream-daemon/src/outbound/server_lists.rs
@@ -15,12 +15,12 @@
 
 impl Outbound {
     /// Applies a configuration.
-    pub fn set(&self, held: &CurrentConfig) {
-        self.set_routes(held);
-        let shared = &held.shared;
+    pub fn set(&self, current: &CurrentConfig) {
+        self.set_routes(current);
+        let shared = &current.shared;
         self.quotas.set(shared, self.routes());
         let mut lists = self.listed_servers(shared);
-        self.add_instances(held, &mut lists);
+        self.add_instances(current, &mut lists);
         let mut canaries = self.split_versions(shared, &mut lists);
         let max_saved = self.retries.extra / shared.hosts.len().max(1) as f64;
         let mut tables = self.tables.write();
@@ -45,8 +45,8 @@
 
     /// Builds the index of routes and workspaces. It is rebuilt only when these change, as tables
     /// may be long.
-    fn set_routes(&self, held: &CurrentConfig) {
-        let (table, config) = (held.routes.as_deref(), &held.shared.config);
+    fn set_routes(&self, current: &CurrentConfig) {
+        let (table, config) = (current.routes.as_deref(), &current.shared.config);
         let number = table.map_or(0, |table| table.number);
         if !self.routes.read().is_of(number, config) {
             *self.routes.write() = Arc::new(RouteIndex::new(table, config));
@@ -75,9 +75,13 @@
     }
 
     /// Adds the registered instances, and the services named in routes.
-    fn add_instances(&self, held: &CurrentConfig, lists: &mut BTreeMap<Arc<str>, Vec<ServerId>>) {
-        let shared = &held.shared;
-        for service in held.routes.iter().flat_map(|table| table.services.keys()) {
+    fn add_instances(
+        &self,
+        current: &CurrentConfig,
+        lists: &mut BTreeMap<Arc<str>, Vec<ServerId>>,
+    ) {
+        let shared = &current.shared;
+        for service in current.routes.iter().flat_map(|table| table.services.keys()) {
             lists.entry(service.as_str().into()).or_default();
         }
         let live = |i: &&Instance| i.state == ServerState::Live;
--- a/crates/cherrystream-daemon/src/role.rs
+++ b/crates/cherrystream-daemon/src/role.rs
@@ -134,7 +134,7 @@
             host: record.host.as_str().into(),
             record: record.clone(),
             policy: settings.policy.unwrap_or(ChoicePolicy::LowestLoad),
-            held: held.clone(),
+            current_config: held.clone(),
             tables: RwLock::default(),
             inbound: inbound.clone(),
             peers: peers.clone(),
