--- a/crates/cherrystream-daemon/src/current_config.rs
+++ b/crates/cherrystream-daemon/src/current_config.rs
@@ -22,7 +22,7 @@
 
 impl CurrentConfig {
     /// Returns the complete state, route table included.
-    pub fn whole(&self) -> Shared {
+    pub fn to_shared(&self) -> Shared {
         Shared { routes: self.routes.as_deref().cloned(), ..(*self.shared).clone() }
     }
 
@@ -32,7 +32,7 @@
         self.shared = Arc::new(state);
     }
 
-    fn apply(&mut self, change: &Change) {
+    fn apply_change(&mut self, change: &Change) {
         match change {
             Change::PatchRoutes { .. } => {
                 let mut table = self.routes.take().map(Arc::unwrap_or_clone);
@@ -82,17 +82,17 @@
     }
 
     /// Extends the lease by which control confirms that this state is recent enough for canaries.
-    pub fn hear_word(&self, until: Timestamp) {
+    pub fn extend_canary_lease(&self, until: Timestamp) {
         self.canary_lease.lock().extend(until);
     }
 
     /// Returns whether control's lease for canaries is valid.
-    pub fn is_vouched_for(&self, now: Timestamp) -> bool {
+    pub fn has_canary_lease(&self, now: Timestamp) -> bool {
         self.canary_lease.lock().is_valid(now)
     }
 
     /// Applies an update; returns whether it was newer than the current revision.
-    pub fn take(&self, update: Update) -> bool {
+    pub fn apply(&self, update: Update) -> bool {
         let mut current = self.current.write();
         if update.revision <= current.revision {
             return false;
@@ -102,7 +102,7 @@
             None => {
                 let base = current.revision;
                 let newer = update.changes.iter().filter(|c| c.revision > base);
-                newer.for_each(|numbered| current.apply(&numbered.change));
+                newer.for_each(|numbered| current.apply_change(&numbered.change));
             }
         }
         current.revision = update.revision;
--- a/crates/cherrystream-daemon/src/inbound/mod.rs
+++ b/crates/cherrystream-daemon/src/inbound/mod.rs
@@ -236,7 +236,7 @@
             return None;
         }
         let trying = rollout.stage == RolloutStage::Trying;
-        let vouched = self.held.is_vouched_for(self.clock.now());
+        let vouched = self.held.has_canary_lease(self.clock.now());
         (trying && !vouched || door.is_stopped_by_trial()).then_some(Reason::VersionInDoubt)
     }
 
--- a/crates/cherrystream-daemon/src/peer_server.rs
+++ b/crates/cherrystream-daemon/src/peer_server.rs
@@ -209,7 +209,7 @@
         if let Some(id) = newest.filter(|id| id.to == held.revision) {
             return id;
         }
-        let full = Some(held.whole());
+        let full = Some(held.to_shared());
         let update = Update { revision: held.revision, changes: Vec::new(), full };
         let encoded = Encoded::new(Revision::default(), &update);
         let id = encoded.id();
--- a/crates/cherrystream-daemon/src/sync/downloads.rs
+++ b/crates/cherrystream-daemon/src/sync/downloads.rs
@@ -318,7 +318,7 @@
         self.count("whole");
         let (from, shown) = (Dotted(from), Dotted(to));
         log::info!("sync: fetched {shown} since {from}: {bytes} bytes in {took:?}");
-        self.tools.held.take(update);
+        self.tools.held.apply(update);
         self.note_end();
     }
 
--- a/crates/cherrystream-daemon/src/sync/mod.rs
+++ b/crates/cherrystream-daemon/src/sync/mod.rs
@@ -153,7 +153,7 @@
     /// Notes for how long a word of control holds: until the next one is late, by the shortest wait.
     fn hear_word(&self, state_age: Duration) {
         let until = self.clock.now() + WORD_HOLDS.saturating_sub(state_age);
-        self.held.hear_word(until);
+        self.held.extend_canary_lease(until);
     }
 
     /// Sends heartbeats until one fails, and tells why it did. A replica of another failure domain is left when one
@@ -278,7 +278,7 @@
     fn take(&self, update: Update, from: &'static str) {
         let revision = update.revision;
         let (changes, whole) = (update.changes.len(), update.full.is_some());
-        if self.held.take(update) {
+        if self.held.apply(update) {
             let shown = Dotted(revision);
             log::info!("sync: revision {shown} from {from}: {changes} changes, whole: {whole}");
             self.metrics.updates.get_or_create(&ReasonLabel { reason: from }).inc();
--- a/crates/cherrystream-daemon/tests/hedging.rs
+++ b/crates/cherrystream-daemon/tests/hedging.rs
@@ -200,7 +200,7 @@
     }
 
     fn apply(&self, index: u64, state: Shared) {
-        self.daemon.held().take(Update {
+        self.daemon.held().apply(Update {
             revision: Revision { term: 1, index },
             changes: Vec::new(),
             full: Some(state),
--- a/crates/cherrystream-daemon/tests/keys.rs
+++ b/crates/cherrystream-daemon/tests/keys.rs
@@ -193,7 +193,7 @@
         let index = self.revision.fetch_add(1, Ordering::SeqCst) + 1;
         let revision = Revision { term: 1, index };
         let update = Update { revision, changes: Vec::new(), full: Some(state) };
-        assert!(self.daemon.held().take(update));
+        assert!(self.daemon.held().apply(update));
         // The daemon goes by it once a request without a route and with the key is told so.
         for _ in 0..1_000 {
             let wanted = if workspace == "nobody" { 401 } else { 404 };
--- a/crates/cherrystream-daemon/tests/late_answers.rs
+++ b/crates/cherrystream-daemon/tests/late_answers.rs
@@ -130,7 +130,7 @@
         leaving: false,
     };
     state.hosts.insert("own".into(), host);
-    daemon.held().take(Update {
+    daemon.held().apply(Update {
         revision: Revision { term: 1, index: 1 },
         changes: Vec::new(),
         full: Some(state),
--- a/crates/cherrystream-daemon/tests/quotas.rs
+++ b/crates/cherrystream-daemon/tests/quotas.rs
@@ -101,7 +101,7 @@
 fn asker(addresses: &[String]) -> (Arc<Quotas>, Metrics) {
     let metrics = Metrics::default();
     let held = Arc::new(CurrentConfigCell::default());
-    assert!(held.take(update(addresses)));
+    assert!(held.apply(update(addresses)));
     let tools = Tools {
         held: held.clone(),
         peers: Arc::new(Peers::new(metrics.clone())),
@@ -127,7 +127,7 @@
     let mut daemons = Vec::new();
     for (n, address) in addresses.iter().enumerate().take(HOSTS - 1) {
         let daemon = daemon(n, address).await;
-        assert!(daemon.held().take(update(&addresses)));
+        assert!(daemon.held().apply(update(&addresses)));
         daemons.push(daemon);
     }
     // Each puts what it was given in force.
--- a/crates/cherrystream-daemon/tests/regions.rs
+++ b/crates/cherrystream-daemon/tests/regions.rs
@@ -148,7 +148,7 @@
         ready: Arc::new(AtomicBool::new(false)),
     };
     let daemon = Daemon::start(&all, all.daemon.as_ref().unwrap(), cx).await.unwrap();
-    daemon.held().take(Update {
+    daemon.held().apply(Update {
         revision: Revision { term: 1, index: 1 },
         changes: Vec::new(),
         full: Some(state),
--- a/crates/cherrystream-daemon/tests/reserving.rs
+++ b/crates/cherrystream-daemon/tests/reserving.rs
@@ -180,7 +180,7 @@
         ready: Arc::new(AtomicBool::new(false)),
     };
     let daemon = Daemon::start(&all, all.daemon.as_ref().unwrap(), cx).await.unwrap();
-    daemon.held().take(Update {
+    daemon.held().apply(Update {
         revision: Revision { term: 1, index: 1 },
         changes: Vec::new(),
         full: Some(state),
--- a/crates/cherrystream-daemon/tests/successors.rs
+++ b/crates/cherrystream-daemon/tests/successors.rs
@@ -29,7 +29,7 @@
         changes: Vec::new(),
         full: Some(shared::empty()),
     };
-    assert!(daemon.held().take(update));
+    assert!(daemon.held().apply(update));
     daemon.inbound().doors.set(&daemon.held().get());
     daemon
 }
