--- a/crates/cherrystream-daemon/src/hop.rs
+++ b/crates/cherrystream-daemon/src/hop.rs
@@ -101,7 +101,7 @@
 
 /// Values shared by all calls of one caller to one backend server.
 #[derive(Clone, Copy, Debug)]
-pub struct Aim<'a> {
+pub struct CallTarget<'a> {
     /// Service of the backend server.
     pub service: &'a str,
     /// Name of the chosen backend server.
@@ -115,30 +115,30 @@
 }
 
 /// Writes the headers of a call.
-pub fn write_call(map: &mut HeaderMap, op: Op, aim: &Aim<'_>, head: &CallHead) {
+pub fn write_call(map: &mut HeaderMap, op: Op, target: &CallTarget<'_>, head: &CallHead) {
     headers::set_static(map, headers::OP, op.as_str());
-    headers::set(map, headers::SERVICE, aim.service);
-    headers::set(map, headers::SERVER, aim.server);
-    headers::set(map, headers::KIND, aim.kind);
-    if let Some(caller) = aim.caller {
+    headers::set(map, headers::SERVICE, target.service);
+    headers::set(map, headers::SERVER, target.server);
+    headers::set(map, headers::KIND, target.kind);
+    if let Some(caller) = target.caller {
         headers::set(map, headers::CALLER, caller);
     }
-    if let Some(workspace) = aim.workspace {
+    if let Some(workspace) = target.workspace {
         headers::set(map, headers::WORKSPACE, workspace);
     }
     headers::set_compact(map, headers::HOP, head);
 }
 
 /// Reads the headers of a call.
-pub fn read_call(map: &HeaderMap) -> Option<(Aim<'_>, CallHead)> {
-    let aim = Aim {
+pub fn read_call(map: &HeaderMap) -> Option<(CallTarget<'_>, CallHead)> {
+    let target = CallTarget {
         service: headers::text(map, &headers::SERVICE)?,
         server: headers::text(map, &headers::SERVER)?,
         kind: headers::text(map, &headers::KIND)?,
         caller: headers::text(map, &headers::CALLER),
         workspace: headers::text(map, &headers::WORKSPACE),
     };
-    Some((aim, headers::compact(map, &headers::HOP)?))
+    Some((target, headers::compact(map, &headers::HOP)?))
 }
 
 /// Writes the answer of a backend server, or a refusal. A refusal has no body here; the outbound
--- a/crates/cherrystream-daemon/src/outbound/send.rs
+++ b/crates/cherrystream-daemon/src/outbound/send.rs
@@ -210,7 +210,7 @@
         permits: Permits,
     ) {
         let remaining = call.deadline.remaining(self.clock.now()).unwrap_or_default();
-        let target = hop::Aim {
+        let target = hop::CallTarget {
             service: &call.service,
             server: &server.name,
             kind: &call.treatment.kind,
--- a/crates/cherrystream-daemon/tests/hop.rs
+++ b/crates/cherrystream-daemon/tests/hop.rs
@@ -4,7 +4,7 @@
 use cherrystream_core::reservations::Reservation;
 use cherrystream_core::suspects::Fingerprint;
 use cherrystream_daemon::headers::{self, Op};
-use cherrystream_daemon::hop::{self, Aim, CallHead};
+use cherrystream_daemon::hop::{self, CallHead, CallTarget};
 use cherrystream_daemon::refusal::Refused;
 use cherrystream_net::body;
 use cherrystream_schema::messages::{Report, ServerState};
@@ -29,7 +29,7 @@
 #[test]
 fn a_call_round_trips() {
     let mut map = HeaderMap::new();
-    let target = Aim {
+    let target = CallTarget {
         service: "quotes",
         server: "q-1",
         kind: "r-7",
