--- a/crates/cherrystream-daemon/src/outbound/canaries.rs
+++ b/crates/cherrystream-daemon/src/outbound/canaries.rs
@@ -64,8 +64,10 @@
 
     /// Returns whether a request is offered to the canary first, at random by its share.
     pub(super) fn draws_canary(&self, call: &Call) -> bool {
-        let Some(table) = self.table(&call.service).filter(|_| !call.alone) else { return false };
-        let mut balancer = table.lock();
+        let Some(balancer) = self.balancer(&call.service).filter(|_| !call.alone) else {
+            return false;
+        };
+        let mut balancer = balancer.lock();
         let ServiceBalancer { canary, rng, .. } = &mut *balancer;
         canary.as_ref().is_some_and(|canary| rng.random::<f64>() < canary.exposure)
     }
@@ -76,8 +78,8 @@
         if !std::mem::take(&mut call.try_canary) {
             return None;
         }
-        let table = self.table(&call.service)?;
-        let mut balancer = table.lock();
+        let balancer = self.balancer(&call.service)?;
+        let mut balancer = balancer.lock();
         let ServiceBalancer { canary, rng, .. } = &mut *balancer;
         let table = &mut canary.as_mut()?.table;
         let mut excluded = self.disallowed_servers(call, table);
--- a/crates/cherrystream-daemon/src/outbound/choosing.rs
+++ b/crates/cherrystream-daemon/src/outbound/choosing.rs
@@ -37,9 +37,9 @@
         if call.alone || !call.stays_nearby(now) {
             return self.choose(call).map(Choice::Server);
         }
-        let table = self.table(&call.service).ok_or(Refused::new(Reason::NoSuchService))?;
+        let balancer = self.balancer(&call.service).ok_or(Refused::new(Reason::NoSuchService))?;
         let kind = call.treatment.kind.as_str();
-        let mut balancer = table.lock();
+        let mut balancer = balancer.lock();
         let ServiceBalancer { table, rng, .. } = &mut *balancer;
         let mut excluded = self.disallowed_servers(call, table);
         excluded.extend(call.tried.iter().cloned());
@@ -61,12 +61,12 @@
     ///
     /// Returns the final refusal if no backend server is available.
     pub(super) fn choose(&self, call: &mut Call) -> Result<ServerId, Refused> {
-        let table = self.table(&call.service).ok_or(Refused::new(Reason::NoSuchService))?;
+        let balancer = self.balancer(&call.service).ok_or(Refused::new(Reason::NoSuchService))?;
         let now = self.clock.now();
         if call.deadline.remaining(now).is_none() {
             return Err(Refused::new(Reason::DeadlineBeforeStart));
         }
-        let mut balancer = table.lock();
+        let mut balancer = balancer.lock();
         let ServiceBalancer { table, rng, .. } = &mut *balancer;
         let disallowed = self.disallowed_servers(call, table);
         if !disallowed.is_empty() && disallowed.len() == table.ids().count() {
--- a/crates/cherrystream-daemon/src/outbound/hedging.rs
+++ b/crates/cherrystream-daemon/src/outbound/hedging.rs
@@ -52,7 +52,7 @@
         if server.name == first.name || !call.is_selective() {
             return None;
         }
-        if !self.table(&call.service)?.lock().hedges.try_spend() {
+        if !self.balancer(&call.service)?.lock().hedges.try_spend() {
             self.metrics.hedges_denied.inc();
             return None;
         }
--- a/crates/cherrystream-daemon/src/outbound/mod.rs
+++ b/crates/cherrystream-daemon/src/outbound/mod.rs
@@ -75,7 +75,7 @@
 /// Largest number of saved hedged attempts.
 const MAX_SAVED_HEDGES: f64 = 2.0;
 
-type Tables = HashMap<Arc<str>, Arc<Mutex<ServiceBalancer>>>;
+type Balancers = HashMap<Arc<str>, Arc<Mutex<ServiceBalancer>>>;
 
 /// Limits of the retries of an outbound.
 #[derive(Clone, Copy, Debug)]
@@ -94,7 +94,7 @@
     pub(crate) record: HostRecord,
     pub(crate) policy: ChoicePolicy,
     pub(crate) current_config: Arc<CurrentConfigCell>,
-    pub(crate) tables: RwLock<Tables>,
+    pub(crate) balancers: RwLock<Balancers>,
     pub(crate) inbound: Arc<Inbound>,
     pub(crate) peers: Arc<Peers>,
     pub(crate) quotas: Arc<Quotas>,
@@ -111,7 +111,7 @@
     pub(crate) caller_service: Option<Arc<str>>,
     pub(crate) routes: RwLock<Arc<RouteIndex>>,
     /// Estimates the time since callers first sent a request. Locked while no other lock is held.
-    pub(crate) first_asked: Mutex<ElapsedTimeEstimator>,
+    pub(crate) elapsed_times: Mutex<ElapsedTimeEstimator>,
     pub(crate) key: Option<Secret>,
     pub(crate) fingerprints: FingerprintKey,
     pub(crate) phases: Phases,
@@ -134,8 +134,8 @@
         let arrived = request::Arrived { head, caller, body: body::incoming(incoming) };
         let (mut summary, result) = match request::read(&self, &current, arrived).await {
             Ok(mut call) => {
-                if let Some(table) = self.table(&call.service) {
-                    table.lock().on_call();
+                if let Some(balancer) = self.balancer(&call.service) {
+                    balancer.lock().on_call();
                 }
                 let result = self.execute_until_stop(&mut call, &current).await;
                 self.refund_unused(&call, &result);
@@ -224,8 +224,8 @@
         }
     }
 
-    pub(crate) fn table(&self, service: &str) -> Option<Arc<Mutex<ServiceBalancer>>> {
-        self.tables.read().get(service).cloned()
+    pub(crate) fn balancer(&self, service: &str) -> Option<Arc<Mutex<ServiceBalancer>>> {
+        self.balancers.read().get(service).cloned()
     }
 
     /// Returns the current routes and workspaces.
--- a/crates/cherrystream-daemon/src/outbound/request.rs
+++ b/crates/cherrystream-daemon/src/outbound/request.rs
@@ -355,7 +355,7 @@
 ) -> Duration {
     let Some(left) = time_left else { return Duration::ZERO };
     let kind: Arc<str> = treatment.kind.as_str().into();
-    outbound.first_asked.lock().on_request(outbound.clock.now(), &kind, left)
+    outbound.elapsed_times.lock().on_request(outbound.clock.now(), &kind, left)
 }
 
 /// Returns the headers to forward.
--- a/crates/cherrystream-daemon/src/outbound/retrying.rs
+++ b/crates/cherrystream-daemon/src/outbound/retrying.rs
@@ -48,8 +48,8 @@
             arrivals_at_most: call.max_arrivals,
         };
         let label = metrics::label(refused.reason);
-        let may = self.table(&call.service).is_some_and(|table| {
-            retry::decide(failed, &mut table.lock().budget, &mut call.allowance)
+        let may = self.balancer(&call.service).is_some_and(|balancer| {
+            retry::decide(failed, &mut balancer.lock().budget, &mut call.allowance)
         });
         if may {
             self.metrics.retries.get_or_create(&label).inc();
--- a/crates/cherrystream-daemon/src/outbound/send.rs
+++ b/crates/cherrystream-daemon/src/outbound/send.rs
@@ -287,8 +287,8 @@
         server: &ServerId,
         f: impl FnOnce(&mut Server, units::Timestamp) -> R,
     ) -> Option<R> {
-        let table = self.table(&call.service)?;
-        let mut balancer = table.lock();
+        let balancer = self.balancer(&call.service)?;
+        let mut balancer = balancer.lock();
         let now = self.clock.now();
         balancer.server(&server.name).map(|s| f(s, now))
     }
@@ -311,8 +311,8 @@
 
 impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
-        let Some(table) = self.outbound.table(&self.service) else { return };
-        if let (Some(sent), Some(server)) = (self.sent, table.lock().server(&self.server)) {
+        let Some(balancer) = self.outbound.balancer(&self.service) else { return };
+        if let (Some(sent), Some(server)) = (self.sent, balancer.lock().server(&self.server)) {
             server.on_ended(sent);
         }
     }
--- a/crates/cherrystream-daemon/src/outbound/server_lists.rs
+++ b/crates/cherrystream-daemon/src/outbound/server_lists.rs
@@ -15,7 +15,7 @@
 
 impl Outbound {
     /// Applies a configuration.
-    pub fn set(&self, current: &CurrentConfig) {
+    pub fn apply_config(&self, current: &CurrentConfig) {
         self.set_routes(current);
         let shared = &current.shared;
         self.quotas.set(shared, self.routes());
@@ -23,23 +23,23 @@
         self.add_instances(current, &mut lists);
         let mut canaries = self.split_versions(shared, &mut lists);
         let max_saved = self.retries.extra / shared.hosts.len().max(1) as f64;
-        let mut tables = self.tables.write();
-        tables.retain(|service, _| lists.contains_key(service));
+        let mut balancers = self.balancers.write();
+        balancers.retain(|service, _| lists.contains_key(service));
         for (service, ids) in lists {
-            let table = tables.entry(service.clone()).or_insert_with(|| {
+            let balancer = balancers.entry(service.clone()).or_insert_with(|| {
                 let table = Table::new(choose::policy(self.policy));
                 let rng = SmallRng::seed_from_u64(rand::random());
                 let budget = RetryBudget::new(self.retries.share);
                 let hedges = RetryBudget::new(self.retries.hedge_share);
                 Arc::new(Mutex::new(ServiceBalancer { table, canary: None, rng, budget, hedges }))
             });
-            let mut balancer = table.lock();
+            let mut balancer = balancer.lock();
             balancer.table.set_servers(ids);
             balancer.set_canary(self.policy, canaries.remove(&service));
             balancer.budget.bound(max_saved.max(1.0));
             balancer.hedges.bound(MAX_SAVED_HEDGES);
         }
-        drop(tables);
+        drop(balancers);
         self.peers.keep_only(|address| shared.hosts.values().any(|h| h.peer_address == address));
     }
 
--- a/crates/cherrystream-daemon/src/role.rs
+++ b/crates/cherrystream-daemon/src/role.rs
@@ -135,7 +135,7 @@
             record: record.clone(),
             policy: settings.policy.unwrap_or(ChoicePolicy::LowestLoad),
             current_config: held.clone(),
-            tables: RwLock::default(),
+            balancers: RwLock::default(),
             inbound: inbound.clone(),
             peers: peers.clone(),
             quotas: quotas.clone(),
@@ -153,7 +153,7 @@
             routes_only,
             caller_service: settings.service.as_deref().map(Into::into),
             routes: RwLock::default(),
-            first_asked: Mutex::default(),
+            elapsed_times: Mutex::default(),
             key: cx.key.clone(),
             fingerprints,
             phases: cx.phases.clone(),
@@ -336,6 +336,6 @@
             inbound.doors.doubt_warmth();
         }
         inbound.doors.set(&now);
-        outbound.set(&now);
+        outbound.apply_config(&now);
     }
 }
