--- a/crates/cherrystream-daemon/tests/hedging.rs
+++ b/crates/cherrystream-daemon/tests/hedging.rs
@@ -207,7 +207,7 @@
         });
     }
 
-    async fn ask_once(&self) -> (u16, String) {
+    async fn send_request_once(&self) -> (u16, String) {
         let req = Request::get("/x").header("host", "a.example").body(body::empty()).unwrap();
         let pool = Pool::new(&self.address, Default::default());
         let connection = pool.connection().await.expect("no connection");
@@ -219,9 +219,9 @@
     }
 
     /// Sends the request until the state is in effect; until then the service is unknown.
-    async fn ask(&self) -> (u16, String) {
+    async fn send_request(&self) -> (u16, String) {
         for _ in 0..1_000 {
-            let answer = self.ask_once().await;
+            let answer = self.send_request_once().await;
             if answer.0 != 404 {
                 return answer;
             }
@@ -232,7 +232,7 @@
 
     /// Waits until a state without services is in effect.
     async fn wait_until_removed(&self) {
-        while self.ask_once().await.0 != 404 {
+        while self.send_request_once().await.0 != 404 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
@@ -254,7 +254,7 @@
         attempts.finish(order[1]);
         cancelled
     };
-    let ended = tokio::join!(caller.ask(), ending);
+    let ended = tokio::join!(caller.send_request(), ending);
     assert_eq!(*attempts.started.borrow(), 2, "expected exactly two attempts");
     ended
 }
@@ -308,6 +308,6 @@
         tokio::time::sleep(SETTLE_TIME).await;
         attempts.finish(0);
     };
-    let ((status, text), ()) = tokio::join!(caller.ask(), removing);
+    let ((status, text), ()) = tokio::join!(caller.send_request(), removing);
     assert_eq!((status, text.as_str(), attempts.cancelled()), (200, "done", 0));
 }
--- a/crates/cherrystream-daemon/tests/late_answers.rs
+++ b/crates/cherrystream-daemon/tests/late_answers.rs
@@ -138,7 +138,7 @@
     (daemon, callers)
 }
 
-async fn ask(callers: &str) -> (u16, String) {
+async fn send_request(callers: &str) -> (u16, String) {
     let req = Request::get("/x").header("host", "h").header("cherrystream-service", "quotes");
     let req: Request<Body> = req.body(body::empty()).unwrap();
     let pool = Pool::new(callers, Default::default());
@@ -155,16 +155,16 @@
 async fn answers(encode: Encode) -> Vec<(u16, String)> {
     let closed_early = Arc::new(AtomicBool::new(false));
     let (_daemon, callers) = start(encode, closed_early.clone()).await;
-    let mut first = ask(&callers).await;
+    let mut first = send_request(&callers).await;
     for _ in 0..1_000 {
         // The service is unknown until the state is in effect.
         if first.0 != 404 {
             break;
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
-        first = ask(&callers).await;
+        first = send_request(&callers).await;
     }
-    let answers = vec![first, ask(&callers).await, ask(&callers).await];
+    let answers = vec![first, send_request(&callers).await, send_request(&callers).await];
     assert!(!closed_early.load(Ordering::SeqCst), "closed in flight: {answers:?}");
     answers
 }
--- a/crates/cherrystream-daemon/tests/regions.rs
+++ b/crates/cherrystream-daemon/tests/regions.rs
@@ -157,7 +157,7 @@
 }
 
 /// Sends a request once the state is in effect; returns the status and the reason.
-async fn ask(pool: &Pool) -> (u16, String) {
+async fn send_request(pool: &Pool) -> (u16, String) {
     for _ in 0..1_000 {
         let req = Request::get("/x").header("host", "a.example").body(body::empty()).unwrap();
         let connection = pool.connection().await.expect("no connection");
@@ -177,7 +177,7 @@
     let peers = [Peer::new("near", "r1", None), Peer::new("far", "r2", None)];
     let (_daemon, pool) = start_caller(&peers, &["r2"]).await;
     for _ in 0..20 {
-        assert_eq!(ask(&pool).await.0, 200);
+        assert_eq!(send_request(&pool).await.0, 200);
     }
     assert_eq!((peers[0].calls(), peers[1].calls()), (0, 20));
 }
@@ -188,7 +188,7 @@
         let peers = [Peer::new("near", "r1", None), Peer::new("far", "r2", Some(reason))];
         let (_daemon, pool) = start_caller(&peers, &["r2"]).await;
         for _ in 0..5 {
-            assert_eq!(ask(&pool).await.0, 503, "{reason}");
+            assert_eq!(send_request(&pool).await.0, 503, "{reason}");
         }
         assert_eq!(peers[0].calls(), 0, "{reason}");
         assert!(peers[1].calls() > 0);
@@ -199,7 +199,7 @@
 async fn without_a_backend_server_in_an_allowed_region_it_is_refused_at_once() {
     let peers = [Peer::new("near", "r1", None)];
     let (_daemon, pool) = start_caller(&peers, &["r2"]).await;
-    assert_eq!(ask(&pool).await, (503, "region-not-allowed".into()));
+    assert_eq!(send_request(&pool).await, (503, "region-not-allowed".into()));
     assert_eq!(peers[0].calls(), 0);
 }
 
@@ -207,5 +207,5 @@
 async fn a_route_without_regions_is_served_anywhere() {
     let peers = [Peer::new("far", "r2", None)];
     let (_daemon, pool) = start_caller(&peers, &[]).await;
-    assert_eq!(ask(&pool).await.0, 200);
+    assert_eq!(send_request(&pool).await.0, 200);
 }
--- a/crates/cherrystream-daemon/tests/reserving.rs
+++ b/crates/cherrystream-daemon/tests/reserving.rs
@@ -188,7 +188,7 @@
     (daemon, callers)
 }
 
-async fn ask(callers: &str, text: String) -> u16 {
+async fn send_request(callers: &str, text: String) -> u16 {
     let req = Request::post("/x").header("host", "a.example").body(body::full(text)).unwrap();
     let pool = Pool::new(callers, Default::default());
     let connection = pool.connection().await.expect("no connection");
@@ -196,9 +196,9 @@
 }
 
 /// Sends the request until the state is in effect; until then the service is unknown.
-async fn ask_until_in_effect(callers: &str, text: &str) -> u16 {
+async fn send_until_in_effect(callers: &str, text: &str) -> u16 {
     for _ in 0..1_000 {
-        let status = ask(callers, text.into()).await;
+        let status = send_request(callers, text.into()).await;
         if status != 404 {
             return status;
         }
@@ -221,7 +221,7 @@
 async fn a_long_body_is_not_sent_with_a_refused_offer() {
     let (peer, address) = start_peer(Behavior::Refuses).await;
     let (_daemon, callers) = start_daemon(state(&address)).await;
-    assert_eq!(ask_until_in_effect(&callers, &LONG_BODY.repeat(128)).await, 503);
+    assert_eq!(send_until_in_effect(&callers, &LONG_BODY.repeat(128)).await, 503);
     let calls = peer.received.lock().clone();
     assert!(calls.iter().all(|a| a.op == Op::Reserve && a.body_bytes == 0), "{calls:?}");
     assert!(!calls.is_empty());
@@ -231,7 +231,7 @@
 async fn a_long_body_is_sent_once_to_its_reserved_slot() {
     let (peer, address) = start_peer(Behavior::Grants).await;
     let (_daemon, callers) = start_daemon(state(&address)).await;
-    assert_eq!(ask_until_in_effect(&callers, &LONG_BODY.repeat(128)).await, 200);
+    assert_eq!(send_until_in_effect(&callers, &LONG_BODY.repeat(128)).await, 200);
     assert_reserved_first(&peer, 32 * 128);
 }
 
@@ -241,7 +241,7 @@
     let (peer, address) = start_peer(Behavior::Grants).await;
     let (_daemon, callers) = start_daemon(state(&address)).await;
     let repeats = 4 * 1_024;
-    assert_eq!(ask_until_in_effect(&callers, &LONG_BODY.repeat(repeats)).await, 200);
+    assert_eq!(send_until_in_effect(&callers, &LONG_BODY.repeat(repeats)).await, 200);
     let ops: Vec<Op> = peer.received.lock().iter().map(|call| call.op).collect();
     assert_eq!(ops, [Op::Reserve, Op::Call]);
     assert_eq!(peer.received.lock()[1].body_bytes, 32 * repeats);
@@ -251,7 +251,7 @@
 async fn a_short_body_of_a_repeatable_request_is_sent_with_the_offer() {
     let (peer, address) = start_peer(Behavior::Grants).await;
     let (_daemon, callers) = start_daemon(state_with(&address, true)).await;
-    assert_eq!(ask_until_in_effect(&callers, LONG_BODY).await, 200);
+    assert_eq!(send_until_in_effect(&callers, LONG_BODY).await, 200);
     let call = ReceivedCall { op: Op::Call, reservation: None, body_bytes: 32 };
     assert_eq!(*peer.received.lock(), [call]);
 }
@@ -260,7 +260,7 @@
 async fn a_non_repeatable_request_of_any_length_reserves_a_slot() {
     let (peer, address) = start_peer(Behavior::Grants).await;
     let (_daemon, callers) = start_daemon(state(&address)).await;
-    assert_eq!(ask_until_in_effect(&callers, LONG_BODY).await, 200);
+    assert_eq!(send_until_in_effect(&callers, LONG_BODY).await, 200);
     assert_reserved_first(&peer, 32);
 }
 
@@ -269,7 +269,7 @@
 async fn a_late_grant_is_requested_again_and_the_request_sent_once() {
     let (peer, address) = start_peer(Behavior::GrantsLate).await;
     let (_daemon, callers) = start_daemon(state(&address)).await;
-    assert_eq!(ask_until_in_effect(&callers, LONG_BODY).await, 200);
+    assert_eq!(send_until_in_effect(&callers, LONG_BODY).await, 200);
     assert_reserved_first(&peer, 32);
     assert!(peer.received.lock().len() > 2, "the reservation was not repeated");
 }
@@ -281,7 +281,7 @@
     let (peer, address) = start_peer(Behavior::Unresponsive).await;
     let (_daemon, callers) = start_daemon(state(&address)).await;
     let started = std::time::Instant::now();
-    assert_eq!(ask_until_in_effect(&callers, LONG_BODY).await, 503);
+    assert_eq!(send_until_in_effect(&callers, LONG_BODY).await, 503);
     let took = started.elapsed();
     assert!(took < Duration::from_millis(1_500), "answered after {took:?}");
     let calls = peer.received.lock().clone();
