--- a/crates/cherrystream-control/src/driver.rs
+++ b/crates/cherrystream-control/src/driver.rs
@@ -8,8 +8,8 @@
 use crate::peers::Peers;
 use crate::snapshots::{self, Made};
 use crate::store::{Batch, Store};
-use cherrystream_core::raft::asking::{self, PlaceView};
-use cherrystream_core::raft::{Newcomer, Options, Position, Raft, Ready};
+use cherrystream_core::raft::rejoin::{self, PlaceView};
+use cherrystream_core::raft::{JoiningReplica, Options, Position, Raft, Ready};
 use cherrystream_core::state::{Applied, ControlState};
 use cherrystream_core::units::Timestamp;
 use cherrystream_net::clock::Clock;
@@ -205,7 +205,7 @@
             }
             Event::Admit(request, reply) => {
                 let leader = self.raft.leader();
-                let newcomer = Newcomer {
+                let newcomer = JoiningReplica {
                     address: &request.address,
                     disk: &request.disk,
                     failure_domain: &request.failure_domain,
@@ -220,7 +220,7 @@
             }
             Event::Applied(outcomes) => self.note_applied(outcomes),
             Event::HandOver(reply) => {
-                self.raft.transfer(now);
+                self.raft.transfer_leadership(now);
                 self.handing_over = Some((Instant::now(), reply));
             }
             Event::Stop | Event::Replaced => {}
@@ -232,9 +232,9 @@
         let view = PlaceView {
             leads: self.raft.is_leader(),
             votes: self.raft.is_voter(),
-            word: self.raft.quorum_word(self.clock.now()),
+            word: self.raft.quorum_contact(self.clock.now()),
         };
-        let gives_up = asking::may_give_up(view);
+        let gives_up = rejoin::may_discard_data(view);
         if !gives_up {
             log::warn!(
                 "control: replica {} was told that its place is lost, but is part of a quorum; it \
@@ -265,7 +265,7 @@
     }
 
     fn work(&mut self, ready: Ready) -> Result<()> {
-        self.peers.send(ready.before);
+        self.peers.send(ready.immediate_messages);
         if let Some(hard) = &ready.hard {
             self.hard = hard.clone();
         }
@@ -276,7 +276,7 @@
         if batch.hard.is_some() || !batch.entries.is_empty() {
             self.write(&batch)?;
         }
-        self.peers.send(ready.after);
+        self.peers.send(ready.messages_after_save);
         self.applier.apply(ready.committed);
         for read in ready.reads {
             if let Some(reply) = self.reads.remove(&read.ticket) {
@@ -354,10 +354,10 @@
     /// Shows where the replicas are, and how old the word of a leader with a quorum is.
     fn publish_group(&mut self) {
         let now = self.clock.now();
-        let age = self.raft.quorum_word(now).age();
+        let age = self.raft.quorum_contact(now).age();
         let heard = age.map(|age| now.earlier(age).unwrap_or_default());
         *self.quorum_word.write() = heard;
-        if self.applied.index >= self.raft.told_commit() {
+        if self.applied.index >= self.raft.known_commit() {
             *self.caught_up.write() = heard;
         }
         let addresses = self.raft.addresses(now);
--- a/crates/cherrystream-core/src/transfer/receiving.rs
+++ b/crates/cherrystream-core/src/transfer/receiving.rs
@@ -1,6 +1,6 @@
-//! The receiver's end of transfers.
+//! Receiving end of transfers.
 
-use super::KEPT;
+use super::PARTIAL_TTL;
 use crate::units::Timestamp;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
@@ -8,60 +8,60 @@
 use snafu::Snafu;
 use std::collections::BTreeMap;
 
-/// Why a piece is refused.
+/// Reason why a piece is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-pub enum PieceFault {
-    /// The transfer is longer than any message.
-    #[snafu(display("the transfer is too long"))]
+pub enum PieceError {
+    /// The transfer exceeds the size limit.
+    #[snafu(display("the transfer exceeds the size limit of a message"))]
     TooLong,
-    /// The bytes cannot be read, or go beyond the end of the transfer.
-    #[snafu(display("the piece cannot be read"))]
+    /// The data cannot be decoded or exceeds the size of the transfer.
+    #[snafu(display("the piece cannot be decoded or exceeds the size of its transfer"))]
     Unreadable,
-    /// The whole does not match its checksum.
+    /// The complete data does not match its checksum.
     #[snafu(display("the transfer does not match its checksum"))]
     Checksum,
 }
 
-/// What a piece led to.
+/// Result of a valid piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// So many bytes of its transfer are held.
+pub enum PieceOutcome {
+    /// The transfer is not complete, or was handed out before. Holds the number of bytes received.
     Held(u64),
-    /// The transfer is whole. It counts as held from now on.
+    /// The transfer is complete. Its content is handed out once.
     Whole(Vec<u8>),
 }
 
-/// A transfer on its way here.
+/// A transfer that is being received.
 #[derive(Debug)]
 struct Partial {
     transfer: u64,
     total: u64,
     checksum: u32,
     bytes: Vec<u8>,
-    /// Whether the whole was handed out.
+    /// Whether the complete content was handed out.
     handed_out: bool,
     progressed: Timestamp,
 }
 
-/// Transfers on their way here, one from each sender at most.
+/// Transfers that are being received, at most one from each sender.
 #[derive(Debug)]
 pub struct Receiving {
-    bytes_at_most: u64,
+    max_bytes: u64,
     partials: BTreeMap<u64, Partial>,
 }
 
 impl Receiving {
-    /// Creates one that takes transfers of `bytes_at_most` at most.
-    pub fn new(bytes_at_most: u64) -> Receiving {
-        Receiving { bytes_at_most, partials: BTreeMap::new() }
+    /// Creates a receiver of transfers of up to `max_bytes`.
+    pub fn new(max_bytes: u64) -> Receiving {
+        Receiving { max_bytes, partials: BTreeMap::new() }
     }
 
-    /// Takes a piece. Memory grows with the bytes that came, not with those that were announced.
+    /// Handles a piece. Memory grows with the received bytes, not with the announced size.
     ///
     /// # Errors
     ///
-    /// Fails on a piece that makes no sense; its transfer is forgotten.
-    pub fn take(&mut self, now: Timestamp, piece: &Piece) -> Result<Taken, PieceFault> {
+    /// Fails if the piece is invalid, and discards its transfer.
+    pub fn take(&mut self, now: Timestamp, piece: &Piece) -> Result<PieceOutcome, PieceError> {
         let taken = self.try_take(now, piece);
         if taken.is_err() {
             self.partials.remove(&piece.from);
@@ -69,32 +69,32 @@
         taken
     }
 
-    fn try_take(&mut self, now: Timestamp, piece: &Piece) -> Result<Taken, PieceFault> {
-        if piece.total > self.bytes_at_most {
-            return Err(PieceFault::TooLong);
+    fn try_take(&mut self, now: Timestamp, piece: &Piece) -> Result<PieceOutcome, PieceError> {
+        if piece.total > self.max_bytes {
+            return Err(PieceError::TooLong);
         }
-        let data = STANDARD_NO_PAD.decode(&piece.data).map_err(|_| PieceFault::Unreadable)?;
+        let data = STANDARD_NO_PAD.decode(&piece.data).map_err(|_| PieceError::Unreadable)?;
         let known = self.partials.get(&piece.from).is_some_and(|p| p.is_of(piece));
         if !known {
             self.partials.insert(piece.from, Partial::new(now, piece));
         }
         let Some(partial) = self.partials.get_mut(&piece.from) else {
-            return Err(PieceFault::Unreadable);
+            return Err(PieceError::Unreadable);
         };
         partial.take(now, piece.offset, &data)
     }
 
-    /// Forgets the transfer of a sender, so that it begins anew.
-    pub fn forget(&mut self, from: u64) {
+    /// Discards the transfer of a sender, which then starts again.
+    pub fn discard(&mut self, from: u64) {
         self.partials.remove(&from);
     }
 
-    /// Forgets transfers that make no progress.
-    pub fn tidy(&mut self, now: Timestamp) {
-        self.partials.retain(|_, p| now.since(p.progressed) < KEPT);
+    /// Discards transfers without progress.
+    pub fn discard_stalled(&mut self, now: Timestamp) {
+        self.partials.retain(|_, p| now.since(p.progressed) < PARTIAL_TTL);
     }
 
-    /// Returns the bytes held in memory.
+    /// Returns the allocated memory for content in bytes.
     pub fn bytes(&self) -> usize {
         self.partials.values().map(|p| p.bytes.capacity()).sum()
     }
@@ -116,29 +116,34 @@
         (self.transfer, self.total, self.checksum) == (piece.transfer, piece.total, piece.checksum)
     }
 
-    fn take(&mut self, now: Timestamp, offset: u64, data: &[u8]) -> Result<Taken, PieceFault> {
+    fn take(
+        &mut self,
+        now: Timestamp,
+        offset: u64,
+        data: &[u8],
+    ) -> Result<PieceOutcome, PieceError> {
         if self.handed_out {
-            return Ok(Taken::Held(self.total));
+            return Ok(PieceOutcome::Held(self.total));
         }
         let held = self.bytes.len() as u64;
-        // A piece that was sent twice, or one of a transfer that was forgotten here.
+        // The piece was sent twice, or the transfer was discarded here.
         if offset != held {
-            return Ok(Taken::Held(held));
+            return Ok(PieceOutcome::Held(held));
         }
         if held + data.len() as u64 > self.total {
-            return Err(PieceFault::Unreadable);
+            return Err(PieceError::Unreadable);
         }
         if !data.is_empty() {
             self.progressed = now;
         }
         self.bytes.extend_from_slice(data);
         if (self.bytes.len() as u64) < self.total {
-            return Ok(Taken::Held(self.bytes.len() as u64));
+            return Ok(PieceOutcome::Held(self.bytes.len() as u64));
         }
         if crc32fast::hash(&self.bytes) != self.checksum {
-            return Err(PieceFault::Checksum);
+            return Err(PieceError::Checksum);
         }
         self.handed_out = true;
-        Ok(Taken::Whole(std::mem::take(&mut self.bytes)))
+        Ok(PieceOutcome::Whole(std::mem::take(&mut self.bytes)))
     }
 }
--- a/crates/cherrystream-daemon/src/outbound/canaries.rs
+++ b/crates/cherrystream-daemon/src/outbound/canaries.rs
@@ -2,7 +2,7 @@
 
 use super::request::Call;
 use super::{Outbound, ServiceBalancer};
-use cherrystream_core::choose::{self, ServerId, Table};
+use cherrystream_core::choose::{self, ServerId, ServerTable};
 use cherrystream_core::rollout::{self, Exposure};
 use cherrystream_core::units::Timestamp;
 use cherrystream_schema::messages::{Rollout, Shared};
@@ -19,7 +19,7 @@
 
 /// Backend servers of a canary.
 pub(crate) struct Canary {
-    pub(super) table: Table,
+    pub(super) table: ServerTable,
     /// Share of the requests that are offered to the canary.
     exposure: f64,
 }
@@ -37,7 +37,7 @@
             self.canary = None;
             return;
         };
-        let table = || Table::new(choose::policy(policy));
+        let table = || ServerTable::new(choose::policy(policy));
         let canary = self.canary.get_or_insert_with(|| Canary { table: table(), exposure });
         canary.exposure = exposure;
         canary.table.set_servers(ids);
@@ -84,7 +84,7 @@
         let table = &mut canary.as_mut()?.table;
         let mut excluded = self.disallowed_servers(call, table);
         excluded.extend(call.tried.iter().cloned());
-        table.choose_free(now, rng, &excluded, &call.treatment.kind)
+        table.choose_free(now, rng, &excluded, &call.class.kind)
     }
 }
 
--- a/crates/cherrystream-daemon/src/outbound/choosing.rs
+++ b/crates/cherrystream-daemon/src/outbound/choosing.rs
@@ -38,7 +38,7 @@
             return self.choose(call).map(Choice::Server);
         }
         let balancer = self.balancer(&call.service).ok_or(Refused::new(Reason::NoSuchService))?;
-        let kind = call.treatment.kind.as_str();
+        let kind = call.class.kind.as_str();
         let mut balancer = balancer.lock();
         let ServiceBalancer { table, rng, .. } = &mut *balancer;
         let mut excluded = self.disallowed_servers(call, table);
@@ -73,7 +73,7 @@
             return Err(Refused::new(Reason::RegionNotAllowed));
         }
         if call.alone {
-            let server = table.choose_alone(now, call.identity.request, &disallowed);
+            let server = table.choose_isolated(now, call.identity.request, &disallowed);
             let server = server.ok_or(Refused::new(Reason::NoBackendServer))?;
             call.tried.push(server.name.clone());
             return Ok(server);
@@ -81,7 +81,7 @@
         // Once all were tried, the first may have a free slot again.
         let tried: Vec<_> = disallowed.iter().chain(&call.tried).cloned().collect();
         let excluded: Vec<_> = tried.iter().chain(&call.busy).cloned().collect();
-        let kind = call.treatment.kind.as_str();
+        let kind = call.class.kind.as_str();
         let free = match call.is_selective() {
             true => table.choose_free(now, rng, &excluded, kind),
             false => None,
@@ -101,7 +101,7 @@
             None => {
                 // None has a free slot: queues at one that has not failed this request.
                 call.selective_offers = 0;
-                let open = table.choose_open(now, rng, &tried, kind);
+                let open = table.choose_not_full(now, rng, &tried, kind);
                 let open = open.map_err(|retry_after| Refused {
                     retry_after,
                     ..Refused::new(Reason::QueueTooLong)
--- a/crates/cherrystream-daemon/src/outbound/destination.rs
+++ b/crates/cherrystream-daemon/src/outbound/destination.rs
@@ -5,7 +5,7 @@
 use crate::current_config::CurrentConfig;
 use crate::headers;
 use crate::refusal::Refused;
-use cherrystream_core::kinds::{self, Treatment};
+use cherrystream_core::kinds::{self, RequestClass};
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::routes::{NamedRoute, RouteIndex};
 use cherrystream_core::workspaces::ApiKey;
@@ -36,14 +36,14 @@
 ) -> Result<ParsedHead, Refused> {
     let head = caller.map_err(Refused::new)?;
     let destination = find_destination(outbound, current, parts, head.key.as_ref())?;
-    let key = read_key(&parts.headers, &destination.treatment)?;
+    let key = read_key(&parts.headers, &destination.class)?;
     Ok(ParsedHead { head, destination, key, uri: target(parts)? })
 }
 
-/// Service and treatment of a request.
+/// Service and class of a request.
 pub(super) struct Destination {
     pub(super) service: Arc<str>,
-    pub(super) treatment: Treatment,
+    pub(super) class: RequestClass,
     pub(super) route: Option<Arc<NamedRoute>>,
     pub(super) member: Option<Member>,
     /// Whether the workspace key and workspace headers of the caller are removed before the request
@@ -81,9 +81,9 @@
     let admitted = admit(&routes, key, false)?;
     let service =
         current.shared.config.services.get(name).ok_or(Refused::new(Reason::NoSuchService))?;
-    let treatment = kinds::treatment(service, parts.method.as_str(), parts.uri.path());
+    let class = kinds::classify(service, parts.method.as_str(), parts.uri.path());
     let Admission { member, strips_key } = admitted;
-    Ok(Destination { service: name.into(), treatment, route: None, member, strips_key })
+    Ok(Destination { service: name.into(), class, route: None, member, strips_key })
 }
 
 fn route_destination(
@@ -96,7 +96,7 @@
     let priority = workspace_priority.unwrap_or(route.route.priority);
     let weight = HIGHEST_PRIORITY_WEIGHT.saturating_sub(priority).max(1);
     let service = route.pick(&mut rand::rng()).ok_or(Refused::new(Reason::NoSuchService))?;
-    let treatment = Treatment {
+    let class = RequestClass {
         kind: route.name.to_string(),
         repeatable: route.route.repeatable,
         needs_key: false,
@@ -105,7 +105,7 @@
     };
     Ok(Destination {
         service: service.into(),
-        treatment,
+        class,
         route: Some(route.clone()),
         member,
         strips_key,
@@ -167,8 +167,8 @@
 }
 
 /// Returns the idempotency key of a non-repeatable request. It is ignored on other requests.
-fn read_key(map: &HeaderMap, treatment: &Treatment) -> Result<Option<Arc<str>>, Refused> {
-    if !treatment.needs_key {
+fn read_key(map: &HeaderMap, class: &RequestClass) -> Result<Option<Arc<str>>, Refused> {
+    if !class.needs_key {
         return Ok(None);
     }
     if !map.contains_key(headers::IDEMPOTENCY_KEY) {
--- a/crates/cherrystream-daemon/src/outbound/hedging.rs
+++ b/crates/cherrystream-daemon/src/outbound/hedging.rs
@@ -71,7 +71,7 @@
     /// Records the arrivals of both attempts; returns the refusal that decides about a retry.
     fn combine(self, call: &mut Call) -> Refused {
         let BothRefused { first, second } = self;
-        let (reported, other) = match retry::second_tells(first.reason, second.reason) {
+        let (reported, other) = match retry::second_decides(first.reason, second.reason) {
             true => (second, first),
             false => (first, second),
         };
--- a/crates/cherrystream-daemon/src/outbound/request.rs
+++ b/crates/cherrystream-daemon/src/outbound/request.rs
@@ -9,7 +9,7 @@
 use crate::refusal::Refused;
 use crate::request_log::RequestSummary;
 use cherrystream_core::deadline::Deadline;
-use cherrystream_core::kinds::Treatment;
+use cherrystream_core::kinds::RequestClass;
 use cherrystream_core::quota::Charge;
 use cherrystream_core::reasons::{Outcome, Reason};
 use cherrystream_core::request_times::{RequestTimes, TimeInputs};
@@ -43,7 +43,7 @@
 pub(super) struct Call {
     pub(super) id: String,
     pub(super) service: Arc<str>,
-    pub(super) treatment: Treatment,
+    pub(super) class: RequestClass,
     pub(super) deadline: Deadline,
     pub(super) allowance: Allowance,
     pub(super) method: Method,
@@ -125,7 +125,7 @@
         Some(Call {
             id: self.id.clone(),
             service: self.service.clone(),
-            treatment: self.treatment.clone(),
+            class: self.class.clone(),
             deadline: self.deadline,
             allowance: self.allowance,
             method: self.method.clone(),
@@ -197,7 +197,7 @@
     pub(super) fn summary(&self) -> RequestSummary {
         RequestSummary {
             id: self.id.clone(),
-            kind: self.treatment.kind.clone(),
+            kind: self.class.kind.clone(),
             service: self.service.to_string(),
             workspace: self.workspace_name().cloned(),
             key: None,
@@ -241,8 +241,8 @@
         }
     };
     let ParsedHead { head, destination, key, uri } = parsed;
-    let Destination { service, treatment, route, member, strips_key } = destination;
-    let deadline = Deadline::new(outbound.clock.now(), head.time_left, treatment.deadline);
+    let Destination { service, class, route, member, strips_key } = destination;
+    let deadline = Deadline::new(outbound.clock.now(), head.time_left, class.deadline);
     let remaining = deadline.remaining(outbound.clock.now()).unwrap_or_default();
     let charging = charge(outbound, member.as_ref(), head.id.as_deref());
     let charged = tokio::time::timeout(remaining, charging).await;
@@ -274,7 +274,7 @@
     }
     .identity(&outbound.fingerprints);
     // The target latency counts from when the caller first sent the request.
-    let elapsed = estimate_elapsed(outbound, &treatment, head.time_left);
+    let elapsed = estimate_elapsed(outbound, &class, head.time_left);
     let times = route.as_ref().map(|named| {
         RequestTimes::new(TimeInputs {
             now,
@@ -294,7 +294,7 @@
     Ok(Call {
         id: head.id.unwrap_or_else(|| format!("{:016x}", rand::random::<u64>())),
         service,
-        treatment,
+        class,
         deadline,
         allowance: Allowance::new(carried),
         method: parts.method.clone(),
@@ -350,11 +350,11 @@
 /// Returns the estimated time since the caller first sent the request.
 fn estimate_elapsed(
     outbound: &Outbound,
-    treatment: &Treatment,
+    class: &RequestClass,
     time_left: Option<Duration>,
 ) -> Duration {
     let Some(left) = time_left else { return Duration::ZERO };
-    let kind: Arc<str> = treatment.kind.as_str().into();
+    let kind: Arc<str> = class.kind.as_str().into();
     outbound.elapsed_times.lock().on_request(outbound.clock.now(), &kind, left)
 }
 
--- a/crates/cherrystream-daemon/src/outbound/reserving.rs
+++ b/crates/cherrystream-daemon/src/outbound/reserving.rs
@@ -30,7 +30,7 @@
     /// Returns whether a request must reserve a slot so that it provably has not run if the host of
     /// the backend server is unresponsive.
     pub(super) fn must_reserve(&self, call: &Call, server: &ServerId) -> bool {
-        let is_routed = call.times.is_some() && !call.treatment.repeatable;
+        let is_routed = call.times.is_some() && !call.class.repeatable;
         is_routed && *server.host != *self.host
     }
 
--- a/crates/cherrystream-daemon/src/outbound/send.rs
+++ b/crates/cherrystream-daemon/src/outbound/send.rs
@@ -11,7 +11,7 @@
 use crate::refusal::Refused;
 use crate::sync::Seen;
 use cherrystream_core::attempts::{Claimed, RequestKey};
-use cherrystream_core::choose::{Distance, Sent, Server, ServerId};
+use cherrystream_core::choose::{CallId, Distance, Server, ServerId};
 use cherrystream_core::reasons::{Outcome, Reason};
 use cherrystream_core::reservations::Reservation;
 use cherrystream_core::units;
@@ -52,12 +52,12 @@
             Ok(_) => s.on_answer(took),
             Err(refused) if refused.reason.outcome() == Outcome::Unknown => s.on_error(now),
             Err(refused) if refused.reason == Reason::BusyNow => {
-                s.on_busy(now, &call.treatment.kind, refused.retry_after);
+                s.on_busy(now, &call.class.kind, refused.retry_after);
             }
             Err(refused) if is_queue_refusal(refused.reason) => {
                 // The queue must drain until its wait is within the wait of this request.
                 let busy_for = refused.retry_after.saturating_sub(max_wait);
-                s.on_full(now, &call.treatment.kind, busy_for);
+                s.on_full(now, &call.class.kind, busy_for);
             }
             Err(refused) if is_unavailable(refused.reason) => s.on_closed(now),
             Err(_) => {}
@@ -127,10 +127,10 @@
         InboundCall {
             service: call.service.clone(),
             server: server.name.clone(),
-            kind: call.treatment.kind.as_str().into(),
+            kind: call.class.kind.as_str().into(),
             caller: self.caller_service.clone(),
             workspace: call.workspace_name().cloned(),
-            weight: call.treatment.weight,
+            weight: call.class.weight,
             deadline: call.deadline,
             wait_at_most: self.remaining_wait(call),
             selective: call.is_selective(),
@@ -213,13 +213,13 @@
         let target = hop::CallTarget {
             service: &call.service,
             server: &server.name,
-            kind: &call.treatment.kind,
+            kind: &call.class.kind,
             caller: self.caller_service.as_deref(),
             workspace: call.workspace_name().map(|name| &**name),
         };
         let head = hop::CallHead {
             call: call.id.clone(),
-            weight: call.treatment.weight,
+            weight: call.class.weight,
             remaining_us: units::micros(remaining),
             wait_us: units::micros(self.remaining_wait(call)),
             allowance: call.allowance.left(),
@@ -268,7 +268,7 @@
         map: &HeaderMap,
     ) -> Option<hop::AnswerHead> {
         if let Some(revision) = headers::text(map, &headers::REVISION)
-            .and_then(units::read_revision)
+            .and_then(units::parse_revision)
             .filter(|revision| *revision > self.current_config.revision())
         {
             let near = matches!(server.distance, Distance::SameHost | Distance::SameDomain);
@@ -299,7 +299,7 @@
     outbound: &'a Outbound,
     service: Arc<str>,
     server: Arc<str>,
-    sent: Option<Sent>,
+    sent: Option<CallId>,
 }
 
 impl InFlightGuard<'_> {
--- a/crates/cherrystream-daemon/src/peer_server.rs
+++ b/crates/cherrystream-daemon/src/peer_server.rs
@@ -10,10 +10,10 @@
 use crate::suspects::{self, SuspectWatch};
 use cherrystream_core::attempts::{Claimed, RequestKey};
 use cherrystream_core::deadline::Deadline;
-use cherrystream_core::distribution::{Encoded, Library};
+use cherrystream_core::distribution::{EncodedUpdate, UpdateCache};
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::suspects::{CallerFingerprint, Fingerprint, FingerprintKey, Identity};
-use cherrystream_core::units::{self, Dotted, Revision};
+use cherrystream_core::units::{self, DisplayRevision, Revision};
 use cherrystream_net::body::{self, Body, Start};
 use cherrystream_net::chunks;
 use cherrystream_net::clock::Clock;
@@ -44,7 +44,7 @@
     /// Shared state held.
     pub held: Arc<CurrentConfigCell>,
     /// Encoded updates that other daemons may fetch here.
-    pub library: Arc<Mutex<Library>>,
+    pub library: Arc<Mutex<UpdateCache>>,
     /// Key of requests' fingerprints.
     pub fingerprints: FingerprintKey,
     /// Key of the system's own processes.
@@ -88,7 +88,7 @@
             Some(Op::SuspectLift) => self.lift(req).await,
             None => observe::plain(StatusCode::BAD_REQUEST, "this port is for daemons only\n"),
         };
-        headers::set(res.headers_mut(), headers::REVISION, Dotted(self.held.revision()));
+        headers::set(res.headers_mut(), headers::REVISION, DisplayRevision(self.held.revision()));
         res
     }
 
@@ -192,7 +192,7 @@
 
     /// Offers the state that this daemon holds, to one that holds an older one.
     fn fetch(&self, headers: &HeaderMap) -> Response<Body> {
-        let asker = headers::text(headers, &headers::REVISION).and_then(units::read_revision);
+        let asker = headers::text(headers, &headers::REVISION).and_then(units::parse_revision);
         let held = self.held.get();
         if held.revision <= asker.unwrap_or_default() {
             return observe::plain(StatusCode::NOT_FOUND, "nothing newer is held here\n");
@@ -205,13 +205,13 @@
     /// Encodes the whole state held, unless that was done before.
     fn whole(&self, held: &CurrentConfig) -> StateId {
         let mut library = self.library.lock();
-        let newest = library.furthest(Revision::default()).map(Encoded::id);
+        let newest = library.furthest(Revision::default()).map(EncodedUpdate::id);
         if let Some(id) = newest.filter(|id| id.to == held.revision) {
             return id;
         }
         let full = Some(held.to_shared());
         let update = Update { revision: held.revision, changes: Vec::new(), full };
-        let encoded = Encoded::new(Revision::default(), &update);
+        let encoded = EncodedUpdate::new(Revision::default(), &update);
         let id = encoded.id();
         library.add(encoded);
         id
--- a/crates/cherrystream-daemon/src/sync/downloads.rs
+++ b/crates/cherrystream-daemon/src/sync/downloads.rs
@@ -4,9 +4,9 @@
 use crate::headers::{self, Op};
 use crate::metrics::{Metrics, ReasonLabel};
 use crate::peer::Peers;
-use cherrystream_core::distribution::{Download, Encoded, Library, Taken};
-use cherrystream_core::transfer::Pace;
-use cherrystream_core::units::{Dotted, Revision, Timestamp};
+use cherrystream_core::distribution::{ChunkOutcome, Download, EncodedUpdate, UpdateCache};
+use cherrystream_core::transfer::PieceSize;
+use cherrystream_core::units::{DisplayRevision, Revision, Timestamp};
 use cherrystream_net::body::{self, Start};
 use cherrystream_net::chunks;
 use cherrystream_net::clock::Clock;
@@ -70,7 +70,7 @@
     /// Shared state held.
     pub held: Arc<CurrentConfigCell>,
     /// Encoded updates that other daemons may fetch here.
-    pub library: Arc<Mutex<Library>>,
+    pub library: Arc<Mutex<UpdateCache>>,
     /// Connections to peers.
     pub peers: Arc<Peers>,
     /// Registration of this host.
@@ -177,9 +177,9 @@
 
     /// Fetches whatever is to be fetched, for as long as the process runs.
     pub async fn run(self: Arc<Self>) {
-        let mut pace = Pace::default();
+        let mut piece_size = PieceSize::default();
         loop {
-            let Some((req, source)) = self.next(&pace) else {
+            let Some((req, source)) = self.next(&piece_size) else {
                 self.begun.notified().await;
                 continue;
             };
@@ -187,13 +187,13 @@
             match self.chunk(&req, &source).await {
                 Ok(data) => {
                     let took = asked.elapsed();
-                    pace.on_reply(took);
+                    piece_size.on_reply(took);
                     self.count_bytes(&source, data.len());
                     self.take(req.id, req.offset, &data);
                     tokio::time::sleep(self.rest(data.len(), took)).await;
                 }
                 Err(what) => {
-                    pace.on_failure();
+                    piece_size.on_failure();
                     self.on_no_chunk(&req.id, &source, what);
                     if source == Source::Control {
                         tokio::time::sleep(PAUSE).await;
@@ -204,7 +204,7 @@
     }
 
     /// Returns the next chunk to ask for, and whom.
-    fn next(&self, pace: &Pace) -> Option<(ChunkRequest, Source)> {
+    fn next(&self, piece_size: &PieceSize) -> Option<(ChunkRequest, Source)> {
         let mut job = self.job.lock();
         let held = self.tools.held.revision();
         // What is held may have come another way meanwhile.
@@ -215,7 +215,7 @@
         let req = ChunkRequest {
             id: job.download.id(),
             offset: job.download.received(),
-            bytes: pace.bytes() as u64,
+            bytes: piece_size.bytes() as u64,
             host: self.tools.record.host.clone(),
             failure_domain: self.tools.record.failure_domain.clone(),
         };
@@ -274,7 +274,7 @@
             (Source::Control, NoChunk::Failed) => {}
         }
         if job.source().is_none() {
-            log::debug!("sync: nobody holds {} any more", Dotted(id.to));
+            log::debug!("sync: nobody holds {} any more", DisplayRevision(id.to));
             *current = None;
             drop(current);
             self.note_end();
@@ -288,8 +288,8 @@
         let Some(job) = current.as_mut().filter(|job| job.download.id() == id) else { return };
         let (taken, started) = (job.download.take(now, offset, data), job.started);
         match taken {
-            Ok(Taken::Partial | Taken::Ignored) => {}
-            Ok(Taken::Whole(encoded)) => {
+            Ok(ChunkOutcome::Partial | ChunkOutcome::Ignored) => {}
+            Ok(ChunkOutcome::Whole(encoded)) => {
                 *current = None;
                 drop(current);
                 self.put_in_force(encoded, started.elapsed());
@@ -298,25 +298,25 @@
                 *current = None;
                 drop(current);
                 self.count("damaged");
-                log::error!("sync: {} is fetched anew: {e}", Dotted(id.to));
+                log::error!("sync: {} is fetched anew: {e}", DisplayRevision(id.to));
                 self.note_end();
             }
         }
     }
 
-    fn put_in_force(&self, encoded: Encoded, took: Duration) {
+    fn put_in_force(&self, encoded: EncodedUpdate, took: Duration) {
         let StateId { from, to, bytes, .. } = encoded.id();
         let update = match encoded.decode() {
             Ok(update) => update,
             Err(e) => {
                 self.count("damaged");
-                log::error!("sync: {} cannot be read: {e}", Dotted(to));
+                log::error!("sync: {} cannot be read: {e}", DisplayRevision(to));
                 return;
             }
         };
         self.tools.library.lock().add(encoded);
         self.count("whole");
-        let (from, shown) = (Dotted(from), Dotted(to));
+        let (from, shown) = (DisplayRevision(from), DisplayRevision(to));
         log::info!("sync: fetched {shown} since {from}: {bytes} bytes in {took:?}");
         self.tools.held.apply(update);
         self.note_end();
--- a/crates/cherrystream-daemon/src/sync/mod.rs
+++ b/crates/cherrystream-daemon/src/sync/mod.rs
@@ -13,7 +13,7 @@
 use crate::peer::Peers;
 use crate::role::SeedReader;
 use cherrystream_core::replica_choice::ReplicaChoice;
-use cherrystream_core::units::{Dotted, Revision, Timestamp};
+use cherrystream_core::units::{DisplayRevision, Revision, Timestamp};
 use cherrystream_net::body::{self, Start};
 use cherrystream_net::clock::Clock;
 use cherrystream_net::key::Secret;
@@ -109,7 +109,7 @@
                 Err(what) => Left::Lost { what, took: started.elapsed() },
             };
             let Left::Lost { what, took } = left else { continue };
-            self.control.lock().on_lost(self.clock.now(), &address, took);
+            self.control.lock().on_failure(self.clock.now(), &address, took);
             search.tries += 1;
             if !search.away {
                 log::warn!("sync: control is away: {what}");
@@ -197,8 +197,8 @@
     /// Notes that a replica serves this daemon, and returns whether one nearby is to be tried in its place.
     fn leaves_for_nearer(&self, address: &str) -> bool {
         let mut control = self.control.lock();
-        control.on_served(address);
-        !self.fixed && control.is_nearer_known(self.clock.now(), address)
+        control.on_success(address);
+        !self.fixed && control.has_nearer(self.clock.now(), address)
     }
 
     /// Makes one heartbeat call, unless something changes that control should hear first.
@@ -223,7 +223,7 @@
         match answered {
             Ok(reply) => self.count_call("answered", Called::Answered(Box::new(reply))),
             Err(e) => {
-                let (took, held) = (started.elapsed(), Dotted(self.held.revision()));
+                let (took, held) = (started.elapsed(), DisplayRevision(self.held.revision()));
                 let what = format!("{e} after {took:?}, {held} is held");
                 self.count_call("failed", Called::Failed { what, took })
             }
@@ -236,7 +236,7 @@
     }
 
     fn is_known_near(&self, address: &str) -> bool {
-        self.control.lock().is_known_near(address)
+        self.control.lock().is_address_near(address)
     }
 
     fn heartbeat(&self, leaving: bool, confirmed: bool) -> SyncRequest {
@@ -270,7 +270,7 @@
         let held = self.held.revision();
         if newest < held {
             self.metrics.lagging_answers.inc();
-            let (theirs, held) = (Dotted(newest), Dotted(held));
+            let (theirs, held) = (DisplayRevision(newest), DisplayRevision(held));
             log::debug!("sync: the replica is at {theirs}, {held} is held");
         }
     }
@@ -279,7 +279,7 @@
         let revision = update.revision;
         let (changes, whole) = (update.changes.len(), update.full.is_some());
         if self.held.apply(update) {
-            let shown = Dotted(revision);
+            let shown = DisplayRevision(revision);
             log::info!("sync: revision {shown} from {from}: {changes} changes, whole: {whole}");
             self.metrics.updates.get_or_create(&ReasonLabel { reason: from }).inc();
         }
@@ -311,9 +311,9 @@
             return;
         }
         let mut control = self.control.lock();
-        control.learn(&reply.control);
+        control.update(&reply.control);
         if let Some(failure_domain) = &reply.failure_domain {
-            control.on_domain(address, failure_domain);
+            control.set_failure_domain(address, failure_domain);
         }
     }
 
@@ -362,7 +362,7 @@
     /// Asks a peer for an offer of the state that it holds.
     async fn offer_of(&self, address: &str) -> Option<Offer> {
         let mut req = downloads::request(address, Op::Fetch, self.key.as_ref())?;
-        headers::set(req.headers_mut(), headers::REVISION, Dotted(self.held.revision()));
+        headers::set(req.headers_mut(), headers::REVISION, DisplayRevision(self.held.revision()));
         let asking = async {
             let res = self.peers.send(address, req).await.ok()?;
             match body::read_start(res.into_body(), OFFER_BYTES).await {
