--- a/crates/cherrystream-daemon/src/outbound/destination.rs
+++ b/crates/cherrystream-daemon/src/outbound/destination.rs
@@ -40,7 +40,7 @@
     Ok(ParsedHead { head, destination, key, uri: target(parts)? })
 }
 
-/// Service and class of a request.
+/// Service, class and workspace of a request.
 pub(super) struct Destination {
     pub(super) service: Arc<str>,
     pub(super) class: RequestClass,
--- a/crates/cherrystream-daemon/src/outbound/send.rs
+++ b/crates/cherrystream-daemon/src/outbound/send.rs
@@ -299,21 +299,27 @@
     outbound: &'a Outbound,
     service: Arc<str>,
     server: Arc<str>,
-    sent: Option<CallId>,
+    call_id: Option<CallId>,
 }
 
 impl InFlightGuard<'_> {
     fn start<'a>(outbound: &'a Outbound, call: &Call, server: &ServerId) -> InFlightGuard<'a> {
-        let sent = outbound.with_server(call, server, |s, now| s.on_sent(now));
-        InFlightGuard { outbound, service: call.service.clone(), server: server.name.clone(), sent }
+        let call_id = outbound.with_server(call, server, |s, now| s.on_sent(now));
+        InFlightGuard {
+            outbound,
+            service: call.service.clone(),
+            server: server.name.clone(),
+            call_id,
+        }
     }
 }
 
 impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         let Some(balancer) = self.outbound.balancer(&self.service) else { return };
-        if let (Some(sent), Some(server)) = (self.sent, balancer.lock().server(&self.server)) {
-            server.on_ended(sent);
+        if let (Some(call_id), Some(server)) = (self.call_id, balancer.lock().server(&self.server))
+        {
+            server.on_ended(call_id);
         }
     }
 }
