--- a/crates/cherrystream-daemon/src/door.rs
+++ b/crates/cherrystream-daemon/src/door.rs
@@ -18,7 +18,7 @@
 use cherrystream_core::suspects::CrashDetector;
 use cherrystream_core::units::Timestamp;
 use cherrystream_net::clock::Clock;
-use cherrystream_net::interface::{HealthWord, ServerLoad};
+use cherrystream_net::interface::{HealthResponse, ServerLoad};
 use cherrystream_net::pool::Pool;
 use cherrystream_schema::messages::{Report, ServerState, VersionTally};
 use parking_lot::{Mutex, MutexGuard};
@@ -286,7 +286,7 @@
     }
 
     /// Takes an answer of the health endpoint. One of another instance says nothing of this one.
-    pub fn on_health(&self, word: &HealthWord) {
+    pub fn on_health(&self, word: &HealthResponse) {
         let is_other = word.instance.as_ref().is_some_and(|name| **name != *self.id.name);
         if let Some(cold_for) = word.cold_for.filter(|_| !is_other) {
             self.inner.lock().admission.warmth().on_health_response(self.clock.now(), cold_for);
--- a/crates/cherrystream-daemon/src/own_interface.rs
+++ b/crates/cherrystream-daemon/src/own_interface.rs
@@ -7,7 +7,7 @@
 use cherrystream_core::workspaces::ApiKey;
 use cherrystream_net::body::{self, Body};
 use cherrystream_net::interface::{
-    BadReport, CallInterface, CallerHead, Execution, Fault, HealthWord, Misreport, RefusalHead,
+    BadReport, CallInterface, CallerHead, Execution, Fault, HealthResponse, Misreport, RefusalHead,
     ReportAnswer, Reported, SendHead, ServerLoad,
 };
 use cherrystream_schema::messages::{ErrorReply, Instance};
@@ -71,9 +71,9 @@
         None
     }
 
-    fn read_health(&self, head: &response::Parts) -> HealthWord {
+    fn read_health(&self, head: &response::Parts) -> HealthResponse {
         let instance = headers::text(&head.headers, &headers::SERVER).map(str::to_string);
-        HealthWord { instance, cold_for: read_cold(&head.headers) }
+        HealthResponse { instance, cold_for: read_cold(&head.headers) }
     }
 
     fn remove_answer_head(&self, _map: &mut HeaderMap) {}
--- a/crates/cherrystream-net/src/interface.rs
+++ b/crates/cherrystream-net/src/interface.rs
@@ -78,7 +78,7 @@
 
 /// Content of a health response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HealthWord {
+pub struct HealthResponse {
     /// Instance that sent the response, if reported.
     pub instance: Option<String>,
     /// Remaining time for which the instance is cold, if reported.
@@ -188,7 +188,7 @@
     fn read_load(&self, head: &response::Parts) -> Option<ServerLoad>;
 
     /// Reads a health response.
-    fn read_health(&self, head: &response::Parts) -> HealthWord;
+    fn read_health(&self, head: &response::Parts) -> HealthResponse;
 
     /// Removes headers of a backend server that are not meant for the caller.
     /// [`CallInterface::mark_answered`] writes those that the caller receives.
