--- a/crates/cherrystream-daemon/src/doors.rs
+++ b/crates/cherrystream-daemon/src/doors.rs
@@ -9,7 +9,7 @@
 use cherrystream_core::health::Check;
 use cherrystream_core::rollout;
 use cherrystream_net::clock::Clock;
-use cherrystream_net::interface::{BadReport, Fault, Misreport};
+use cherrystream_net::interface::{Fault, ReportError, ReportErrorKind};
 use cherrystream_net::pool::Pool;
 use cherrystream_schema::messages::{BackendServer, Instance, ServerState};
 use cherrystream_schema::settings::RoomKind;
@@ -54,7 +54,7 @@
     /// Services that the configuration names, once there is a route table. Taken with no other lock.
     services: RwLock<Option<BTreeSet<String>>>,
     /// Ways in which reports were bad. Taken with no other lock.
-    bad_reports: Mutex<BTreeSet<Misreport>>,
+    bad_reports: Mutex<BTreeSet<ReportErrorKind>>,
     /// Door to the instance that reports itself to this daemon.
     instance: RwLock<Option<Beside>>,
 }
@@ -232,7 +232,7 @@
     }
 
     /// Notes a report that is not taken: counted, and logged the first time that one is bad in this way.
-    pub fn on_bad_report(&self, bad: &BadReport) {
+    pub fn on_bad_report(&self, bad: &ReportError) {
         let kind = bad.kind;
         let label = metrics::ReasonLabel { reason: kind.as_str() };
         self.metrics.bad_reports.get_or_create(&label).inc();
--- a/crates/cherrystream-daemon/src/instances.rs
+++ b/crates/cherrystream-daemon/src/instances.rs
@@ -5,7 +5,7 @@
 use cherrystream_core::units::Revision;
 use cherrystream_net::body::{self, Body, Start};
 use cherrystream_net::interface::{
-    BadReport, CallInterface, Fault, Misreport, ReportAnswer, Reported,
+    CallInterface, Fault, ReportAnswer, ReportError, ReportErrorKind, Reported,
 };
 use cherrystream_schema::messages::{Instance, InstanceRecord, VersionTally};
 use http::{Request, Response};
@@ -87,7 +87,7 @@
                 what: "the report broke off or is too large".into(),
                 remedy: "send it again, whole".into(),
             };
-            return self.turn_away(BadReport { kind: Misreport::Unreadable, fault });
+            return self.turn_away(ReportError { kind: ReportErrorKind::Unreadable, fault });
         };
         let read = self.interface.read_report(&head, &bytes);
         match read {
@@ -98,7 +98,7 @@
 
     /// Checks that a report names a service of the configuration: another one would take the place of the instance that
     /// is registered here.
-    fn check_service(&self, report: &InstanceReport) -> Result<(), BadReport> {
+    fn check_service(&self, report: &InstanceReport) -> Result<(), ReportError> {
         let unknown = match report {
             InstanceReport::Running(run) => {
                 Some(&run.service).filter(|name| !self.doors.knows(name))
@@ -110,10 +110,10 @@
             what: format!("no configuration that is known here names the service {service:?}"),
             remedy: "correct its name, or report again once a configuration names it".into(),
         };
-        Err(BadReport { kind: Misreport::UnknownService, fault })
+        Err(ReportError { kind: ReportErrorKind::UnknownService, fault })
     }
 
-    fn turn_away(&self, bad: BadReport) -> ReportAnswer {
+    fn turn_away(&self, bad: ReportError) -> ReportAnswer {
         self.doors.on_bad_report(&bad);
         ReportAnswer::Bad(bad.fault)
     }
--- a/crates/cherrystream-daemon/src/own_interface.rs
+++ b/crates/cherrystream-daemon/src/own_interface.rs
@@ -7,8 +7,8 @@
 use cherrystream_core::workspaces::ApiKey;
 use cherrystream_net::body::{self, Body};
 use cherrystream_net::interface::{
-    BadReport, CallInterface, CallerHead, Execution, Fault, HealthResponse, Misreport, RefusalHead,
-    ReportAnswer, Reported, SendHead, ServerLoad,
+    CallInterface, CallerHead, Execution, Fault, HealthResponse, RefusalHead, ReportAnswer,
+    ReportError, ReportErrorKind, Reported, SendHead, ServerLoad,
 };
 use cherrystream_schema::messages::{ErrorReply, Instance};
 use http::{HeaderMap, HeaderName, Method, Response, StatusCode, header, request, response};
@@ -91,20 +91,20 @@
         path == READINESS
     }
 
-    fn read_report(&self, head: &request::Parts, body: &[u8]) -> Result<Reported, BadReport> {
+    fn read_report(&self, head: &request::Parts, body: &[u8]) -> Result<Reported, ReportError> {
         let Some(id) = head.uri.path().strip_prefix(INSTANCES).filter(|id| !id.is_empty()) else {
             let fault = Fault {
                 what: format!("there is nothing at {}", head.uri.path()),
                 remedy: "use PUT or DELETE /v1/instances/ID".into(),
             };
-            return Err(BadReport { kind: Misreport::UnknownCall, fault });
+            return Err(ReportError { kind: ReportErrorKind::UnknownCall, fault });
         };
         if head.method == Method::DELETE {
             let report = InstanceReport::Stopping { id: id.into(), born_ms: None };
             return Ok(Reported { report, cold_for: None });
         }
-        let instance: Instance = serde_json::from_slice(body).map_err(|e| BadReport {
-            kind: Misreport::Unreadable,
+        let instance: Instance = serde_json::from_slice(body).map_err(|e| ReportError {
+            kind: ReportErrorKind::Unreadable,
             fault: Fault {
                 what: format!("the report cannot be read: {e}"),
                 remedy: "send id, service, address, slots, state and sequence".into(),
--- a/crates/cherrystream-net/src/interface.rs
+++ b/crates/cherrystream-net/src/interface.rs
@@ -107,7 +107,7 @@
 
 /// Kind of an invalid report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Misreport {
+pub enum ReportErrorKind {
     /// The path or method is not that of a report.
     UnknownCall,
     /// The body cannot be decoded, or is too large.
@@ -122,25 +122,25 @@
     UnknownService,
 }
 
-impl Misreport {
+impl ReportErrorKind {
     /// Returns the name used in log lines and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
-            Misreport::UnknownCall => "unknown-call",
-            Misreport::Unreadable => "unreadable",
-            Misreport::FieldMissing => "field-missing",
-            Misreport::FieldMistyped => "field-mistyped",
-            Misreport::UnknownState => "unknown-state",
-            Misreport::UnknownService => "unknown-service",
+            ReportErrorKind::UnknownCall => "unknown-call",
+            ReportErrorKind::Unreadable => "unreadable",
+            ReportErrorKind::FieldMissing => "field-missing",
+            ReportErrorKind::FieldMistyped => "field-mistyped",
+            ReportErrorKind::UnknownState => "unknown-state",
+            ReportErrorKind::UnknownService => "unknown-service",
         }
     }
 }
 
 /// A rejected report.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BadReport {
+pub struct ReportError {
     /// Why the report is rejected.
-    pub kind: Misreport,
+    pub kind: ReportErrorKind,
     /// Error for the response to its sender.
     pub fault: Fault,
 }
@@ -208,7 +208,7 @@
     /// # Errors
     ///
     /// Fails if the request is not a valid report.
-    fn read_report(&self, head: &request::Parts, body: &[u8]) -> Result<Reported, BadReport>;
+    fn read_report(&self, head: &request::Parts, body: &[u8]) -> Result<Reported, ReportError>;
 
     /// Returns the response to a report of an instance.
     fn write_report_answer(&self, answer: &ReportAnswer) -> Response<Body>;
