--- a/crates/cherrystream-daemon/src/sync/downloads.rs
+++ b/crates/cherrystream-daemon/src/sync/downloads.rs
@@ -251,7 +251,7 @@
         if res.status() != StatusCode::OK {
             return Err(NoChunk::Gone);
         }
-        match body::read_start(res.into_body(), chunks::MOST).await {
+        match body::read_start(res.into_body(), chunks::MAX_CHUNK_BYTES).await {
             Ok(Start::Whole(bytes)) => Ok(bytes.to_vec()),
             _ => Err(NoChunk::Failed),
         }
--- a/crates/cherrystream-net/src/chunks.rs
+++ b/crates/cherrystream-net/src/chunks.rs
@@ -5,11 +5,11 @@
 use cherrystream_schema::messages::Chunk;
 
 /// Maximum size of a chunk in bytes. Larger chunks save few round trips.
-pub const MOST: usize = 256 * 1024;
+pub const MAX_CHUNK_BYTES: usize = 256 * 1024;
 
 /// Returns the size of the chunk to send when `bytes` are requested.
 pub fn wanted(bytes: u64) -> usize {
-    usize::try_from(bytes).unwrap_or(MOST).clamp(1, MOST)
+    usize::try_from(bytes).unwrap_or(MAX_CHUNK_BYTES).clamp(1, MAX_CHUNK_BYTES)
 }
 
 /// Encodes a chunk that begins at `offset`.
