--- a/crates/cherrystream-control/src/api.rs
+++ b/crates/cherrystream-control/src/api.rs
@@ -2,7 +2,7 @@
 
 use crate::metrics::Metrics;
 use crate::operators::{self, Operators};
-use crate::orders::Orders;
+use crate::orders::OperatorCommands;
 use cherrystream_net::body::{self, Body, Start};
 use cherrystream_net::key::{self, Secret};
 use cherrystream_schema::messages::{OperatorAnswer, OperatorCall};
@@ -38,7 +38,7 @@
     /// Operators that may call; empty disables authentication.
     pub credentials: Arc<Vec<Operator>>,
     /// Handler of operator commands of another interface, if one is configured.
-    pub orders: Option<Orders>,
+    pub orders: Option<OperatorCommands>,
     /// Metrics of the control role.
     pub metrics: Metrics,
 }
@@ -47,7 +47,7 @@
     /// Handles a request and returns its response.
     pub async fn answer(&self, req: Request<Incoming>) -> Response<Body> {
         let (head, incoming) = req.into_parts();
-        let orders = self.orders.as_ref().filter(|orders| orders.interface.is_order(&head));
+        let orders = self.orders.as_ref().filter(|orders| orders.interface.is_command(&head));
         let req = Request::from_parts(head, incoming);
         match orders {
             Some(orders) => orders.answer(req).await,
--- a/crates/cherrystream-control/src/operators.rs
+++ b/crates/cherrystream-control/src/operators.rs
@@ -11,7 +11,7 @@
 use cherrystream_core::units::DisplayRevision;
 use cherrystream_core::workspaces;
 use cherrystream_net::clock;
-use cherrystream_net::interface::OrderAnswer;
+use cherrystream_net::interface::CommandOutcome;
 use cherrystream_net::rpc::ControlRpcClient;
 use cherrystream_schema::messages;
 use jsonrpsee::ws_client::WsClient;
@@ -81,24 +81,24 @@
     }
 
     /// Returns the route table as the operator wrote it. The read is linearizable.
-    pub async fn read_routes(&self) -> OrderAnswer {
+    pub async fn read_routes(&self) -> CommandOutcome {
         if self.confirm_read().await.is_err() {
-            return OrderAnswer::Unavailable;
+            return CommandOutcome::Unavailable;
         }
         let state = self.handle.state.read();
         let source = state.route_source().map(str::to_string);
-        source.map_or(OrderAnswer::NoTable, OrderAnswer::Table)
+        source.map_or(CommandOutcome::NoTable, CommandOutcome::Table)
     }
 
     /// Returns the stage of the latest roll-out of a service. The read is linearizable.
-    pub async fn read_rollout(&self, service: &str) -> OrderAnswer {
+    pub async fn read_rollout(&self, service: &str) -> CommandOutcome {
         if self.confirm_read().await.is_err() {
-            return OrderAnswer::Unavailable;
+            return CommandOutcome::Unavailable;
         }
         let state = self.handle.state.read();
         match state.shared().config.rollouts.get(service) {
-            Some(r) => OrderAnswer::Rollout { version: r.version.clone(), stage: r.stage },
-            None => OrderAnswer::NoRollout,
+            Some(r) => CommandOutcome::Rollout { version: r.version.clone(), stage: r.stage },
+            None => CommandOutcome::NoRollout,
         }
     }
 
--- a/crates/cherrystream-control/src/orders.rs
+++ b/crates/cherrystream-control/src/orders.rs
@@ -9,111 +9,117 @@
 use cherrystream_core::routes;
 use cherrystream_net::body::{self, Body, Start};
 use cherrystream_net::clock;
-use cherrystream_net::interface::{Fault, Order, OrderAnswer, OrderInterface, RolloutStart};
+use cherrystream_net::interface::{
+    CommandOutcome, Fault, OperatorCommand, OperatorInterface, RolloutStart,
+};
 use cherrystream_schema::messages::{Change, Intent};
 use http::{Request, Response};
 use hyper::body::Incoming;
 use std::sync::Arc;
 
 /// Maximum size of the body of a command.
-const MAX_ORDER_BYTES: usize = 16 * 1024 * 1024;
+const MAX_COMMAND_BYTES: usize = 16 * 1024 * 1024;
 
 /// Executes operator commands.
 #[derive(Clone)]
-pub struct Orders {
+pub struct OperatorCommands {
     /// Forwards route tables and reads to the leader.
     pub operators: Operators,
     /// Commits intents through the leader.
     pub registrar: Registrar,
     /// Decodes commands and encodes their results.
-    pub interface: Arc<dyn OrderInterface>,
+    pub interface: Arc<dyn OperatorInterface>,
     /// Metrics of the control role.
     pub metrics: Metrics,
 }
 
-impl Orders {
+impl OperatorCommands {
     /// Executes the command in a request and returns the response.
     pub async fn answer(&self, req: Request<Incoming>) -> Response<Body> {
         let (head, incoming) = req.into_parts();
-        let answer = match body::read_start(body::incoming(incoming), MAX_ORDER_BYTES).await {
-            Ok(Start::Whole(bytes)) => match self.interface.read_order(&head, &bytes) {
-                Ok(order) => self.execute(order).await,
-                Err(fault) => OrderAnswer::Invalid(fault),
+        let outcome = match body::read_start(body::incoming(incoming), MAX_COMMAND_BYTES).await {
+            Ok(Start::Whole(bytes)) => match self.interface.read_command(&head, &bytes) {
+                Ok(command) => self.execute(command).await,
+                Err(fault) => CommandOutcome::Invalid(fault),
             },
-            Ok(Start::Longer(_)) => OrderAnswer::Invalid(Fault {
+            Ok(Start::Longer(_)) => CommandOutcome::Invalid(Fault {
                 what: "the order is too large".into(),
                 remedy: "send 16 MiB at most".into(),
             }),
-            Err(_) => OrderAnswer::Invalid(Fault {
+            Err(_) => CommandOutcome::Invalid(Fault {
                 what: "the order broke off".into(),
                 remedy: "send it again".into(),
             }),
         };
-        self.record(&answer);
-        self.interface.write_order_answer(&answer)
+        self.record(&outcome);
+        self.interface.write_outcome(&outcome)
     }
 
-    async fn execute(&self, order: Order) -> OrderAnswer {
-        match order {
-            Order::ReadRoutes => self.operators.read_routes().await,
-            Order::Intend(intent) => self.apply_intent(intent).await,
-            Order::StartRollout(start) => self.start_rollout(start).await,
-            Order::ReadRollout(service) => self.operators.read_rollout(&service).await,
-            Order::ReplaceRoutes(order) => match routes::validate(&order.table) {
+    async fn execute(&self, command: OperatorCommand) -> CommandOutcome {
+        match command {
+            OperatorCommand::ReadRoutes => self.operators.read_routes().await,
+            OperatorCommand::ApplyIntent(intent) => self.apply_intent(intent).await,
+            OperatorCommand::StartRollout(start) => self.start_rollout(start).await,
+            OperatorCommand::ReadRollout(service) => self.operators.read_rollout(&service).await,
+            OperatorCommand::ReplaceRoutes(order) => match routes::validate(&order.table) {
                 Ok(()) => self.operators.replace_routes(&order).await,
-                Err(e) => OrderAnswer::Invalid(Fault { what: e.what, remedy: e.remedy }),
+                Err(e) => CommandOutcome::Invalid(Fault { what: e.what, remedy: e.remedy }),
             },
         }
     }
 
     /// Applies an intent. Returns once it is committed to the replicated log.
-    async fn apply_intent(&self, intent: Intent) -> OrderAnswer {
+    async fn apply_intent(&self, intent: Intent) -> CommandOutcome {
         let what = plan::describe(&intent);
         match self.registrar.register(vec![Change::Operator { intent }]).await {
             Ok(()) => {
                 log::info!("orders: {what} is committed");
-                OrderAnswer::Intended
+                CommandOutcome::Committed
             }
             Err(e) => {
                 log::warn!("orders: the outcome of {what} is unknown: {}", e.message());
-                OrderAnswer::Unavailable
+                CommandOutcome::Unavailable
             }
         }
     }
 
     /// Starts a roll-out, unless the current state forbids it.
-    async fn start_rollout(&self, start: RolloutStart) -> OrderAnswer {
+    async fn start_rollout(&self, start: RolloutStart) -> CommandOutcome {
         let RolloutStart { service, version, within } = start;
         let within_ms = within.as_millis().try_into().unwrap_or(u64::MAX);
         let intent = Intent::StartRollout { service, version, within_ms, at_ms: clock::unix_ms() };
         if self.operators.confirm_read().await.is_err() {
-            return OrderAnswer::Unavailable;
+            return CommandOutcome::Unavailable;
         }
         match self.operators.check(&intent) {
             Ok(()) => self.apply_intent(intent).await,
             Err(e) => {
                 let fault = Fault { what: e.to_string(), remedy: e.remedy() };
                 match e {
-                    Error::Busy { .. } => OrderAnswer::Busy(fault),
-                    _ => OrderAnswer::Invalid(fault),
+                    Error::Busy { .. } => CommandOutcome::Busy(fault),
+                    _ => CommandOutcome::Invalid(fault),
                 }
             }
         }
     }
 
     /// Logs a result and counts refusals.
-    fn record(&self, answer: &OrderAnswer) {
-        match answer {
-            OrderAnswer::Held(number) => log::info!("orders: route table {number} is current"),
-            OrderAnswer::Table(_) | OrderAnswer::Intended | OrderAnswer::Rollout { .. } => {}
-            OrderAnswer::NoRollout => self.metrics.refuse("no-rollout"),
-            OrderAnswer::Busy(fault) => {
+    fn record(&self, outcome: &CommandOutcome) {
+        match outcome {
+            CommandOutcome::CurrentRoutes(number) => {
+                log::info!("orders: route table {number} is current")
+            }
+            CommandOutcome::Table(_)
+            | CommandOutcome::Committed
+            | CommandOutcome::Rollout { .. } => {}
+            CommandOutcome::NoRollout => self.metrics.refuse("no-rollout"),
+            CommandOutcome::Busy(fault) => {
                 self.metrics.refuse("under-way");
                 log::warn!("orders: refused: {}; {}", fault.what, fault.remedy);
             }
-            OrderAnswer::NoTable => self.metrics.refuse("no-table"),
-            OrderAnswer::Unavailable => self.metrics.refuse("no-quorum"),
-            OrderAnswer::Invalid(fault) => {
+            CommandOutcome::NoTable => self.metrics.refuse("no-table"),
+            CommandOutcome::Unavailable => self.metrics.refuse("no-quorum"),
+            CommandOutcome::Invalid(fault) => {
                 self.metrics.refuse("invalid-order");
                 log::warn!("orders: refused: {}; {}", fault.what, fault.remedy);
             }
--- a/crates/cherrystream-control/src/role.rs
+++ b/crates/cherrystream-control/src/role.rs
@@ -9,7 +9,7 @@
 use crate::handle::{Event, Handle};
 use crate::metrics::Metrics;
 use crate::operators::Operators;
-use crate::orders::Orders;
+use crate::orders::OperatorCommands;
 use crate::peers::Peers;
 use crate::place::{self, Finder, Place};
 use crate::platform;
@@ -20,7 +20,7 @@
 use crate::rpc_server::{LedgerLimits, RpcServer};
 use cherrystream_core::raft::rejoin::JoinTimer;
 use cherrystream_core::rollout::controller::Limits;
-use cherrystream_net::interface::OrderInterface;
+use cherrystream_net::interface::OperatorInterface;
 use cherrystream_net::key::Secret;
 use cherrystream_net::serve::{self, Phases};
 use cherrystream_schema::messages::JoinRequest;
@@ -44,7 +44,7 @@
     /// Failure domain of this host.
     pub failure_domain: String,
     /// Interface for operator commands, in addition to the intent API.
-    pub orders: Option<Arc<dyn OrderInterface>>,
+    pub orders: Option<Arc<dyn OperatorInterface>>,
     /// Metrics of the control role.
     pub metrics: Metrics,
     /// Called with the error when the role stops because of a failure.
@@ -119,7 +119,7 @@
             metrics: cx.metrics.clone(),
         }));
         let rpc = rpc.serve(&settings.rpc_address, cx.key).await?;
-        let orders = cx.orders.map(|interface| Orders {
+        let orders = cx.orders.map(|interface| OperatorCommands {
             operators: operators.clone(),
             registrar,
             interface,
--- a/crates/cherrystream-control/src/tables.rs
+++ b/crates/cherrystream-control/src/tables.rs
@@ -5,7 +5,7 @@
 use crate::operators::Operators;
 use cherrystream_core::routes;
 use cherrystream_core::state::Applied;
-use cherrystream_net::interface::OrderAnswer;
+use cherrystream_net::interface::CommandOutcome;
 use cherrystream_net::rpc::ControlRpcClient;
 use cherrystream_schema::messages::{Command, RouteOrder, RouteOrderReply};
 use std::time::Duration;
@@ -19,24 +19,26 @@
 impl Operators {
     /// Replaces the route table through the leader. Sends only the difference from the current
     /// table where possible: tables may be long, and most changes are short.
-    pub async fn replace_routes(&self, order: &RouteOrder) -> OrderAnswer {
+    pub async fn replace_routes(&self, order: &RouteOrder) -> CommandOutcome {
         for _ in 0..MAX_PATCH_ATTEMPTS {
             let Some(patch) = self.patch(order) else { break };
             match self.submit_routes(patch).await {
-                Some(reply) if reply.taken => return OrderAnswer::Held(reply.number),
+                Some(reply) if reply.taken => return CommandOutcome::CurrentRoutes(reply.number),
                 // Another table was committed first, or this replica lags behind.
                 Some(reply) => self.wait_for_table(reply.number).await,
-                None => return OrderAnswer::Unavailable,
+                None => return CommandOutcome::Unavailable,
             }
         }
         // The applied table is committed, so a table that is not newer changes nothing.
         let (held, number) = (self.handle.state.read().route_number(), order.table.number);
         if number <= held {
-            return OrderAnswer::Held(held);
+            return CommandOutcome::CurrentRoutes(held);
         }
         let command = Command::ReplaceRoutes { packed: routes::pack(order), number };
         let reply = self.submit_routes(command).await;
-        reply.map_or(OrderAnswer::Unavailable, |reply| OrderAnswer::Held(reply.number))
+        reply.map_or(CommandOutcome::Unavailable, |reply| {
+            CommandOutcome::CurrentRoutes(reply.number)
+        })
     }
 
     /// Returns a patch from the current table to a newer one.
--- a/crates/cherrystream-net/src/interface.rs
+++ b/crates/cherrystream-net/src/interface.rs
@@ -216,13 +216,13 @@
 
 /// A command of an operator.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum OperatorCommand {
     /// Replaces the route table.
     ReplaceRoutes(Box<RouteOrder>),
     /// Reads the route table.
     ReadRoutes,
     /// Changes the configuration by an intent, without a plan.
-    Intend(Intent),
+    ApplyIntent(Intent),
     /// Starts a roll-out.
     StartRollout(RolloutStart),
     /// Reads the stage of the latest roll-out of a service.
@@ -242,11 +242,11 @@
 
 /// Result of an operator command.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OrderAnswer {
+pub enum CommandOutcome {
     /// The route table with this number is current.
-    Held(u64),
+    CurrentRoutes(u64),
     /// The intent is committed.
-    Intended,
+    Committed,
     /// The route table as the operator wrote it.
     Table(String),
     /// There is no route table yet.
@@ -269,17 +269,17 @@
 }
 
 /// The interface to operators.
-pub trait OrderInterface: Send + Sync + 'static {
+pub trait OperatorInterface: Send + Sync + 'static {
     /// Returns whether a request is an operator command of this interface.
-    fn is_order(&self, head: &request::Parts) -> bool;
+    fn is_command(&self, head: &request::Parts) -> bool;
 
     /// Reads an operator command.
     ///
     /// # Errors
     ///
     /// Fails if the command is malformed.
-    fn read_order(&self, head: &request::Parts, body: &[u8]) -> Result<Order, Fault>;
+    fn read_command(&self, head: &request::Parts, body: &[u8]) -> Result<OperatorCommand, Fault>;
 
     /// Returns the response with the result of a command.
-    fn write_order_answer(&self, answer: &OrderAnswer) -> Response<Body>;
+    fn write_outcome(&self, outcome: &CommandOutcome) -> Response<Body>;
 }
--- a/crates/cherrystream/src/replica.rs
+++ b/crates/cherrystream/src/replica.rs
@@ -4,7 +4,7 @@
 use cherrystream_control::errors::Error as ControlError;
 use cherrystream_control::metrics::Metrics;
 use cherrystream_control::role::{Context, Control};
-use cherrystream_net::interface::OrderInterface;
+use cherrystream_net::interface::OperatorInterface;
 use cherrystream_net::key::Secret;
 use cherrystream_net::serve::{Phase, Phases};
 use cherrystream_schema::settings::ControlSettings;
@@ -20,7 +20,7 @@
     /// Key of the system's own processes.
     pub key: Option<Secret>,
     /// Interface for operators' orders.
-    pub orders: Option<Arc<dyn OrderInterface>>,
+    pub orders: Option<Arc<dyn OperatorInterface>>,
     /// Metrics.
     pub metrics: Metrics,
 }
--- a/crates/cherrystream/src/site.rs
+++ b/crates/cherrystream/src/site.rs
@@ -4,7 +4,7 @@
 use crate::replica::{self, Replica};
 use cherrystream_daemon::own_interface::OwnInterface;
 use cherrystream_daemon::role::{self as daemon_role, Daemon, SeedReader};
-use cherrystream_net::interface::{CallInterface, OrderInterface};
+use cherrystream_net::interface::{CallInterface, OperatorInterface};
 use cherrystream_net::key::Secret;
 use cherrystream_net::observe::Observed;
 use cherrystream_net::serve::{self, Phase, Phases};
@@ -133,7 +133,7 @@
 /// How the outside speaks to this process.
 struct Interfaces {
     calls: Arc<dyn CallInterface>,
-    orders: Option<Arc<dyn OrderInterface>>,
+    orders: Option<Arc<dyn OperatorInterface>>,
 }
 
 fn interfaces(settings: &Settings) -> Interfaces {
