--- a/crates/cherrystream-control/src/operators.rs
+++ b/crates/cherrystream-control/src/operators.rs
@@ -1,7 +1,7 @@
 //! Handles operator calls: intents, plans, confirmations, configuration and status.
 
 use crate::handle::{Handle, NoResult};
-use crate::peers::Line;
+use crate::peers::ReplicaConnection;
 use crate::reach::{self, Reach};
 use cherrystream_core::errors::Error;
 use cherrystream_core::plan;
@@ -39,7 +39,7 @@
     /// Handle to the replicated log.
     pub handle: Handle,
     /// Connections to the other replicas.
-    pub lines: Arc<BTreeMap<u64, Arc<Line>>>,
+    pub connections: Arc<BTreeMap<u64, Arc<ReplicaConnection>>>,
     /// Daemons that send heartbeats to this replica.
     pub reach: Arc<Reach>,
 }
@@ -128,7 +128,7 @@
     }
 
     async fn client_of(&self, replica: u64) -> Option<Arc<WsClient>> {
-        self.lines.get(&replica)?.client().await
+        self.connections.get(&replica)?.client().await
     }
 
     async fn intent(&self, call: &OperatorCall) -> OperatorAnswer {
@@ -241,8 +241,8 @@
         let newest = self.handle.state.read().revision();
         let mut all = self.reach.statuses(self.handle.clock.now(), newest);
         let mut queries = JoinSet::new();
-        for line in self.lines.values() {
-            queries.spawn(daemons_seen_by(line.clone()));
+        for connection in self.connections.values() {
+            queries.spawn(daemons_seen_by(connection.clone()));
         }
         all.extend(queries.join_all().await.into_iter().flatten());
         let mut joined = reach::join(all);
@@ -281,12 +281,12 @@
 }
 
 /// Queries another replica for the daemons that it has seen.
-async fn daemons_seen_by(line: Arc<Line>) -> Vec<DaemonStatus> {
-    let query = async { line.client().await?.reach().await.ok() };
+async fn daemons_seen_by(connection: Arc<ReplicaConnection>) -> Vec<DaemonStatus> {
+    let query = async { connection.client().await?.reach().await.ok() };
     match tokio::time::timeout(DAEMONS_QUERY_TIMEOUT, query).await {
         Ok(Some(statuses)) => statuses,
         _ => {
-            log::debug!("control: replica at {} did not return its daemons", line.address());
+            log::debug!("control: replica at {} did not return its daemons", connection.address());
             Vec::new()
         }
     }
--- a/crates/cherrystream-control/src/peers.rs
+++ b/crates/cherrystream-control/src/peers.rs
@@ -28,7 +28,7 @@
 pub struct Peers {
     own: u64,
     queues: BTreeMap<u64, Arc<Queue>>,
-    lines: BTreeMap<u64, Arc<Line>>,
+    connections: BTreeMap<u64, Arc<ReplicaConnection>>,
     metrics: Metrics,
     /// Sending tasks, aborted when the last clone is dropped.
     _tasks: Arc<JoinSet<()>>,
@@ -36,21 +36,25 @@
 
 impl Peers {
     /// Starts the tasks that send from replica `own` to each of the others.
-    pub fn start(own: u64, others: &BTreeMap<u64, Arc<Line>>, metrics: Metrics) -> Peers {
+    pub fn start(
+        own: u64,
+        others: &BTreeMap<u64, Arc<ReplicaConnection>>,
+        metrics: Metrics,
+    ) -> Peers {
         let mut queues = BTreeMap::new();
         let mut tasks = JoinSet::new();
-        for (id, line) in others {
+        for (id, connection) in others {
             let queue = Arc::new(Queue::new(metrics.clone()));
-            tasks.spawn(send_short(line.clone(), queue.clone()));
-            tasks.spawn(send_long(own, line.sibling(), queue.clone()));
+            tasks.spawn(send_short(connection.clone(), queue.clone()));
+            tasks.spawn(send_long(own, connection.sibling(), queue.clone()));
             queues.insert(*id, queue);
         }
-        Peers { own, queues, lines: others.clone(), metrics, _tasks: Arc::new(tasks) }
+        Peers { own, queues, connections: others.clone(), metrics, _tasks: Arc::new(tasks) }
     }
 
     /// Records the current address of a replica.
     pub fn set_address(&self, id: u64, address: &str) {
-        if self.lines.get(&id).is_some_and(|line| line.set_address(address)) {
+        if self.connections.get(&id).is_some_and(|connection| connection.set_address(address)) {
             log::info!("control: replica {id} is at {address}");
         }
     }
@@ -86,10 +90,10 @@
     }
 }
 
-async fn send_short(line: Arc<Line>, queue: Arc<Queue>) {
+async fn send_short(connection: Arc<ReplicaConnection>, queue: Arc<Queue>) {
     loop {
         let messages = queue.next_short().await;
-        let Some(client) = line.client().await else {
+        let Some(client) = connection.client().await else {
             // Queued messages are stale by the time the replica is reachable again.
             queue.finish_short(false);
             queue.drop_short();
@@ -99,15 +103,18 @@
         let sent = client.raft(messages).await;
         queue.finish_short(sent.is_ok());
         if let Err(e) = sent {
-            log::debug!("control: sending messages to replica at {} failed: {e}", line.address());
-            line.drop_client().await;
+            log::debug!(
+                "control: sending messages to replica at {} failed: {e}",
+                connection.address()
+            );
+            connection.drop_client().await;
         }
     }
 }
 
 /// Sends long messages in pieces, on a separate connection so that short messages never wait for
 /// them.
-async fn send_long(own: u64, line: Line, queue: Arc<Queue>) {
+async fn send_long(own: u64, connection: ReplicaConnection, queue: Arc<Queue>) {
     let mut piece_size = PieceSize::default();
     loop {
         let msg = queue.next_long().await;
@@ -116,7 +123,7 @@
             Err(e) => {
                 log::error!(
                     "control: a message for replica at {} cannot be packed: {e}",
-                    line.address()
+                    connection.address()
                 );
                 queue.finish_long(false);
                 continue;
@@ -124,8 +131,8 @@
         };
         let mut sending = Sending::new(own, rand::random(), content, queue.clock().now());
         let start = Instant::now();
-        let delivered = send_pieces(&line, &queue, &mut sending, &mut piece_size).await;
-        let (bytes, address) = (sending.total(), line.address());
+        let delivered = send_pieces(&connection, &queue, &mut sending, &mut piece_size).await;
+        let (bytes, address) = (sending.total(), connection.address());
         if delivered {
             log::debug!("control: sent {bytes} bytes to {address} in {:?}", start.elapsed());
         }
@@ -135,18 +142,18 @@
 
 /// Sends the pieces of a transfer. Returns whether all were delivered.
 async fn send_pieces(
-    line: &Line,
+    connection: &ReplicaConnection,
     queue: &Queue,
     sending: &mut Sending,
     piece_size: &mut PieceSize,
 ) -> bool {
     while !sending.is_done() {
         let Some(term) = queue.wants_long(sending.share_left()) else {
-            log::debug!("control: a transfer to {} is obsolete", line.address());
+            log::debug!("control: a transfer to {} is obsolete", connection.address());
             return false;
         };
         let sent = Instant::now();
-        match send_piece(line, sending, piece_size.bytes(), term).await {
+        match send_piece(connection, sending, piece_size.bytes(), term).await {
             Some(reply) => {
                 piece_size.on_reply(sent.elapsed());
                 sending.on_reply(queue.clock().now(), reply.held);
@@ -160,7 +167,7 @@
             log::warn!(
                 "control: a transfer of {} bytes to {} made no progress for {:?} and is aborted",
                 sending.total(),
-                line.address(),
+                connection.address(),
                 transfer::STALL_TIMEOUT
             );
             return false;
@@ -169,14 +176,22 @@
     true
 }
 
-async fn send_piece(line: &Line, sending: &Sending, bytes: usize, term: u64) -> Option<PieceReply> {
-    let client = line.client().await?;
+async fn send_piece(
+    connection: &ReplicaConnection,
+    sending: &Sending,
+    bytes: usize,
+    term: u64,
+) -> Option<PieceReply> {
+    let client = connection.client().await?;
     match client.piece(sending.piece(bytes, term)).await {
         Ok(reply) => Some(reply),
         Err(e) => {
-            log::debug!("control: sending a piece to replica at {} failed: {e}", line.address());
+            log::debug!(
+                "control: sending a piece to replica at {} failed: {e}",
+                connection.address()
+            );
             if !rpc::is_answer(&e) {
-                line.drop_client().await;
+                connection.drop_client().await;
             }
             None
         }
@@ -192,7 +207,7 @@
 }
 
 /// A connection to a replica that is kept open between calls.
-pub struct Line {
+pub struct ReplicaConnection {
     address: Arc<RwLock<String>>,
     key: Option<Secret>,
     timeout: Duration,
@@ -200,10 +215,10 @@
     client: Mutex<Option<(String, Arc<WsClient>)>>,
 }
 
-impl Line {
+impl ReplicaConnection {
     /// Creates a connection that is opened by the first call.
-    pub fn new(address: &str, key: Option<Secret>) -> Line {
-        Line {
+    pub fn new(address: &str, key: Option<Secret>) -> ReplicaConnection {
+        ReplicaConnection {
             address: Arc::new(RwLock::new(address.into())),
             key,
             timeout: CALL_TIMEOUT,
@@ -212,14 +227,14 @@
     }
 
     /// Creates a separate connection to the same replica. Both follow changes of its address.
-    pub fn sibling(&self) -> Line {
+    pub fn sibling(&self) -> ReplicaConnection {
         self.for_bytes(0)
     }
 
-    /// Creates a connection like [`Line::sibling`] whose timeout covers the transfer of `bytes` and
+    /// Creates a connection like [`ReplicaConnection::sibling`] whose timeout covers the transfer of `bytes` and
     /// the commit on the leader.
-    pub fn for_bytes(&self, bytes: usize) -> Line {
-        Line {
+    pub fn for_bytes(&self, bytes: usize) -> ReplicaConnection {
+        ReplicaConnection {
             address: self.address.clone(),
             key: self.key.clone(),
             timeout: timeout_for(bytes),
--- a/crates/cherrystream-control/src/place.rs
+++ b/crates/cherrystream-control/src/place.rs
@@ -5,7 +5,7 @@
 use crate::folder::Folder;
 use crate::founder;
 use crate::metrics::Metrics;
-use crate::peers::Line;
+use crate::peers::ReplicaConnection;
 use crate::recall::{self, Identity};
 use crate::rpc_server;
 use crate::standby::Standby;
@@ -73,10 +73,12 @@
         }
     }
 
-    /// Returns the lines to the other replicas.
-    pub fn lines(&self, key: Option<&Secret>) -> BTreeMap<u64, Arc<Line>> {
+    /// Returns connections to the other replicas.
+    pub fn connections(&self, key: Option<&Secret>) -> BTreeMap<u64, Arc<ReplicaConnection>> {
         let others = self.addresses.iter().filter(|(id, _)| **id != self.identity.replica);
-        others.map(|(id, address)| (*id, Arc::new(Line::new(address, key.cloned())))).collect()
+        others
+            .map(|(id, address)| (*id, Arc::new(ReplicaConnection::new(address, key.cloned()))))
+            .collect()
     }
 }
 
--- a/crates/cherrystream-control/src/registrar.rs
+++ b/crates/cherrystream-control/src/registrar.rs
@@ -3,7 +3,7 @@
 use crate::handle::{Handle, NoResult};
 use crate::metrics::Metrics;
 use crate::operators::Operators;
-use crate::peers::Line;
+use crate::peers::ReplicaConnection;
 use crate::together::Together;
 use cherrystream_net::rpc::{self, ControlRpcClient};
 use cherrystream_schema::messages::{Change, Command};
@@ -26,8 +26,11 @@
 impl Registrar {
     /// Starts one.
     pub fn start(operators: &Operators, metrics: Metrics) -> Registrar {
-        let leading =
-            Leading { handle: operators.handle.clone(), lines: operators.lines.clone(), metrics };
+        let leading = Leading {
+            handle: operators.handle.clone(),
+            lines: operators.connections.clone(),
+            metrics,
+        };
         let registrations = Together::start(move |changes: Vec<Vec<Change>>| {
             let leading = leading.clone();
             async move { leading.share(changes.concat()).await }
@@ -64,7 +67,7 @@
 #[derive(Clone)]
 struct Leading {
     handle: Handle,
-    lines: Arc<BTreeMap<u64, Arc<Line>>>,
+    lines: Arc<BTreeMap<u64, Arc<ReplicaConnection>>>,
     metrics: Metrics,
 }
 
--- a/crates/cherrystream-control/src/role.rs
+++ b/crates/cherrystream-control/src/role.rs
@@ -71,8 +71,8 @@
         let folder = DiskFolder::try_new(&settings.data_folder)
             .map_err(errors::folder(format!("open {}", settings.data_folder)))?;
         let place = find_place(settings, &cx, &folder).await?;
-        let lines = place.lines(cx.key.as_ref());
-        let peers = Peers::start(place.identity.replica, &lines, cx.metrics.clone());
+        let connections = place.connections(cx.key.as_ref());
+        let peers = Peers::start(place.identity.replica, &connections, cx.metrics.clone());
         let credentials = Arc::new(read_operators(&settings.operators)?);
         let listener = serve::listen(&settings.api_address).await?;
         let opts = place.raft_options();
@@ -91,16 +91,20 @@
         }
         let reach = Arc::new(Reach::default());
         // Calls use separate connections, so that no message of the log waits behind a large call.
-        let lines = lines.into_iter().map(|(id, line)| (id, Arc::new(line.sibling())));
-        let lines = Arc::new(lines.collect::<BTreeMap<_, _>>());
-        let operators =
-            Operators { handle: handle.clone(), lines: lines.clone(), reach: reach.clone() };
+        let connections =
+            connections.into_iter().map(|(id, connection)| (id, Arc::new(connection.sibling())));
+        let connections = Arc::new(connections.collect::<BTreeMap<_, _>>());
+        let operators = Operators {
+            handle: handle.clone(),
+            connections: connections.clone(),
+            reach: reach.clone(),
+        };
         let limits =
             LedgerLimits { window_ms: settings.key_window_ms, max_keys: settings.keys_at_most };
         let rpc = RpcServer {
             released: release::start(handle.clone()),
             handle: handle.clone(),
-            lines,
+            connections,
             reach,
             arrivals: Arrivals::new(handle.events.clone()),
             distribution: Arc::new(Distribution::new(&cx.failure_domain)),
@@ -114,7 +118,7 @@
         let registrar = rpc.registrar.clone();
         task::spawn(rpc.rollouts.clone().run(rollouts::Context {
             handle: handle.clone(),
-            lines: rpc.lines.clone(),
+            connections: rpc.connections.clone(),
             registrar: registrar.clone(),
             metrics: cx.metrics.clone(),
         }));
--- a/crates/cherrystream-control/src/rollouts.rs
+++ b/crates/cherrystream-control/src/rollouts.rs
@@ -3,7 +3,7 @@
 
 use crate::handle::Handle;
 use crate::metrics::Metrics;
-use crate::peers::Line;
+use crate::peers::ReplicaConnection;
 use crate::registrar::Registrar;
 use cherrystream_core::rollout;
 use cherrystream_core::rollout::controller::{Controller, Limits, Moment};
@@ -35,7 +35,7 @@
     /// Handle to the replicated log.
     pub handle: Handle,
     /// Connections to the other replicas.
-    pub lines: Arc<BTreeMap<u64, Arc<Line>>>,
+    pub connections: Arc<BTreeMap<u64, Arc<ReplicaConnection>>>,
     /// Commits steps through the leader.
     pub registrar: Registrar,
     /// Metrics of the control role.
@@ -95,9 +95,9 @@
         // A follower evaluates the counts too, to have them if it becomes the leader.
         self.on_counts(&cx.handle, &tallies);
         let Some(leader) = standing.leader.filter(|_| !standing.leads) else { return };
-        let Some(line) = cx.lines.get(&leader) else { return };
+        let Some(connection) = cx.connections.get(&leader) else { return };
         let forwarding = async {
-            let client = line.client().await?;
+            let client = connection.client().await?;
             client.tally(tallies).await.ok()
         };
         if !matches!(tokio::time::timeout(FORWARD_TIMEOUT, forwarding).await, Ok(Some(()))) {
--- a/crates/cherrystream-control/src/rpc_server.rs
+++ b/crates/cherrystream-control/src/rpc_server.rs
@@ -6,7 +6,7 @@
 use crate::handle::{Event, Handle, NoResult};
 use crate::metrics::Metrics;
 use crate::operators::Operators;
-use crate::peers::Line;
+use crate::peers::ReplicaConnection;
 use crate::reach::Reach;
 use crate::registrar::Registrar;
 use crate::rollouts::Rollouts;
@@ -63,7 +63,7 @@
     /// Newest revision that is announced to daemons.
     pub released: watch::Receiver<Revision>,
     /// Connections to the other replicas.
-    pub lines: Arc<BTreeMap<u64, Arc<Line>>>,
+    pub connections: Arc<BTreeMap<u64, Arc<ReplicaConnection>>>,
     /// Daemons that send heartbeats to this replica.
     pub reach: Arc<Reach>,
     /// Selects and encodes updates for daemons.
@@ -123,7 +123,8 @@
     }
 
     fn not_leader(&self, leader: Option<u64>) -> ErrorObjectOwned {
-        let address = leader.and_then(|id| self.lines.get(&id)).map(|line| line.address());
+        let address =
+            leader.and_then(|id| self.connections.get(&id)).map(|connection| connection.address());
         self.metrics.refuse("not-leader");
         rpc::not_leader(address.as_deref())
     }
@@ -329,8 +330,9 @@
         let decision = match self.admit_by_quorum(&req).await {
             Ok(decision) => decision,
             Err(NoResult::NotLeader { leader: Some(leader) }) => {
-                let line = self.lines.get(&leader).ok_or_else(|| self.not_leader(None))?;
-                let client = line.client().await.ok_or_else(|| self.not_leader(None))?;
+                let connection =
+                    self.connections.get(&leader).ok_or_else(|| self.not_leader(None))?;
+                let client = connection.client().await.ok_or_else(|| self.not_leader(None))?;
                 return client.join(req).await.map_err(|e| rpc::unavailable(&e.to_string()));
             }
             Err(e) => return Err(self.no_result(e)),
@@ -371,7 +373,7 @@
     }
 
     async fn piece(&self, piece: Piece) -> RpcResult<PieceReply> {
-        if !self.lines.contains_key(&piece.from) {
+        if !self.connections.contains_key(&piece.from) {
             self.metrics.refuse("unknown-replica");
             return Err(rpc::unavailable("the sender is not a replica of this group"));
         }
--- a/crates/cherrystream-control/src/tables.rs
+++ b/crates/cherrystream-control/src/tables.rs
@@ -67,15 +67,15 @@
             Err(NoResult::NotLeader { leader }) => leader?,
             Err(NoResult::Unknown) => return None,
         };
-        let line = self.lines.get(&leader)?;
+        let connection = self.connections.get(&leader)?;
         // The timeout grows with the size of the call.
         let reply = match command {
             Command::PatchRoutes { base, number, packed } => {
-                let client = line.for_bytes(packed.len()).client().await?;
+                let client = connection.for_bytes(packed.len()).client().await?;
                 client.patch_routes(base, number, packed).await
             }
             Command::ReplaceRoutes { packed, number } => {
-                let client = line.for_bytes(packed.len()).client().await?;
+                let client = connection.for_bytes(packed.len()).client().await?;
                 client.replace_routes(number, packed).await
             }
             _ => return None,
--- a/crates/cherrystream-control/tests/lines.rs
+++ b/crates/cherrystream-control/tests/lines.rs
@@ -6,7 +6,7 @@
 mod relay;
 
 use cherrystream_control::metrics::Metrics;
-use cherrystream_control::peers::Line;
+use cherrystream_control::peers::ReplicaConnection;
 use cherrystream_control::rpc_server;
 use cherrystream_control::standby::Standby;
 use cherrystream_net::rpc::{self, ControlRpcClient};
@@ -21,7 +21,7 @@
 const LARGE_CALL_BYTES: usize = 1_000_000;
 
 /// Starts a standby replica behind the link and returns a connection to it.
-async fn connect() -> (Line, Relay) {
+async fn connect() -> (ReplicaConnection, Relay) {
     let free = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = free.local_addr().unwrap().to_string();
     drop(free);
@@ -30,14 +30,14 @@
     tokio::spawn(server.stopped());
     let relay = Relay::start("127.0.0.1:0", &address).await;
     relay.set(Mode::Rate(LINK_BANDWIDTH));
-    (Line::new(&relay.address, None), relay)
+    (ReplicaConnection::new(&relay.address, None), relay)
 }
 
 /// Guards against a timeout that does not grow with the size of the call.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_large_call_does_not_time_out_over_a_slow_link() {
-    let (line, _relay) = connect().await;
-    let client = line.for_bytes(LARGE_CALL_BYTES).client().await.unwrap();
+    let (connection, _relay) = connect().await;
+    let client = connection.for_bytes(LARGE_CALL_BYTES).client().await.unwrap();
     let e = client.replace_routes(1, "x".repeat(LARGE_CALL_BYTES)).await.unwrap_err();
     assert!(rpc::is_answer(&e), "{e}");
 }
@@ -45,16 +45,16 @@
 /// Guards against short calls that wait behind a large one.
 #[tokio::test(flavor = "multi_thread")]
 async fn short_calls_do_not_wait_behind_a_large_call() {
-    let (line, _relay) = connect().await;
-    let line = Arc::new(line);
-    let large = line.clone();
+    let (connection, _relay) = connect().await;
+    let connection = Arc::new(connection);
+    let large = connection.clone();
     let large_call = tokio::spawn(async move {
         let client = large.for_bytes(LARGE_CALL_BYTES).client().await.unwrap();
         client.replace_routes(1, "x".repeat(LARGE_CALL_BYTES)).await
     });
     tokio::time::sleep(Duration::from_millis(200)).await;
     for _ in 0..5 {
-        let e = line.client().await.unwrap().read_index().await.unwrap_err();
+        let e = connection.client().await.unwrap().read_index().await.unwrap_err();
         assert!(rpc::is_answer(&e), "{e}");
     }
     assert!(!large_call.is_finished(), "the large call ended before the short ones");
