--- a/crates/cherrystream-bench/src/spread/after/replica.rs
+++ b/crates/cherrystream-bench/src/spread/after/replica.rs
@@ -1,7 +1,7 @@
 //! A replica as daemons see it, after `control::rpc_server`.
 
 use super::Served;
-use cherrystream_control::distribution::{Distribution, Lacking};
+use cherrystream_control::distribution::{Distribution, PendingUpdate};
 use cherrystream_control::reach::Reach;
 use cherrystream_core::state::ControlState;
 use cherrystream_core::units::Timestamp;
@@ -39,19 +39,19 @@
         req: &SyncRequest,
         until: Timestamp,
     ) -> Option<SyncReply> {
-        let lacking = self.distribution.lacking(now, state, req, &self.reach);
-        let waits = match lacking {
-            Lacking::Later => true,
-            Lacking::Nothing => req.fetching.is_some(),
-            Lacking::Short(_) | Lacking::Long(_) => false,
+        let pending = self.distribution.pending_update(now, state, req, &self.reach);
+        let waits = match pending {
+            PendingUpdate::Later => true,
+            PendingUpdate::Nothing => req.fetching.is_some(),
+            PendingUpdate::Short(_) | PendingUpdate::Long(_) => false,
         };
         if waits && now + LOOK_AGAIN <= until {
             return None;
         }
-        let (update, offer) = match lacking {
-            Lacking::Nothing | Lacking::Later => (None, None),
-            Lacking::Short(update) => (Some(*update), None),
-            Lacking::Long(offer) => (None, Some(offer)),
+        let (update, offer) = match pending {
+            PendingUpdate::Nothing | PendingUpdate::Later => (None, None),
+            PendingUpdate::Short(update) => (Some(*update), None),
+            PendingUpdate::Long(offer) => (None, Some(offer)),
         };
         let state = state.read();
         Some(SyncReply {
--- a/crates/cherrystream-control/src/distribution.rs
+++ b/crates/cherrystream-control/src/distribution.rs
@@ -20,7 +20,7 @@
 
 /// Update that a daemon receives in response to its heartbeat.
 #[derive(Debug)]
-pub enum Lacking {
+pub enum PendingUpdate {
     /// The daemon is up to date, or is already fetching the update.
     Nothing,
     /// A short update, sent inline.
@@ -49,51 +49,51 @@
     }
 
     /// Returns the update for a daemon.
-    pub fn lacking(
+    pub fn pending_update(
         &self,
         now: Timestamp,
         state: &RwLock<ControlState>,
         req: &SyncRequest,
         reach: &Reach,
-    ) -> Lacking {
+    ) -> PendingUpdate {
         let requester = self.requester(&req.record.host, &req.record.failure_domain);
         let kind = state.read().update_kind_since(req.held);
         match kind {
             UpdateKind::Nothing => {
                 self.scheduler.lock().on_done(requester);
-                return Lacking::Nothing;
+                return PendingUpdate::Nothing;
             }
             UpdateKind::Changes { weight } if weight <= MAX_INLINE_WEIGHT => {
                 self.scheduler.lock().on_done(requester);
-                return Lacking::Short(Box::new(state.read().update_since(req.held)));
+                return PendingUpdate::Short(Box::new(state.read().update_since(req.held)));
             }
             UpdateKind::Changes { .. } | UpdateKind::Whole { .. } => {}
         }
         if req.looks_in && !requester.near {
-            return Lacking::Nothing;
+            return PendingUpdate::Nothing;
         }
         if let Some(fetching) = &req.fetching {
             self.scheduler.lock().on_fetching(now, requester, fetching.id);
             if self.should_continue(state, fetching) {
-                return Lacking::Nothing;
+                return PendingUpdate::Nothing;
             }
         }
         let encoded = self.encoded(state, req.held, kind);
         let id = encoded.id();
         if req.fetching.as_ref().is_some_and(|f| self.is_available(f) && !supersedes(&id, f)) {
-            return Lacking::Nothing;
+            return PendingUpdate::Nothing;
         }
         let is_there = |host: &str| reach.is_there(now, host, id.to);
         match self.scheduler.lock().source(now, requester, id, is_there) {
             FetchSource::Replica => {
                 let first = encoded.chunk(0, FIRST_CHUNK_BYTES).map(|data| chunks::encode(0, data));
-                Lacking::Long(Offer { id, first, peers: Vec::new() })
+                PendingUpdate::Long(Offer { id, first, peers: Vec::new() })
             }
             FetchSource::Peers(hosts) => {
                 let peers = hosts.iter().filter_map(|host| reach.peer_address(host)).collect();
-                Lacking::Long(Offer { id, first: None, peers })
+                PendingUpdate::Long(Offer { id, first: None, peers })
             }
-            FetchSource::Later => Lacking::Later,
+            FetchSource::Later => PendingUpdate::Later,
         }
     }
 
--- a/crates/cherrystream-control/src/peers.rs
+++ b/crates/cherrystream-control/src/peers.rs
@@ -231,8 +231,8 @@
         self.for_bytes(0)
     }
 
-    /// Creates a connection like [`ReplicaConnection::sibling`] whose timeout covers the transfer of `bytes` and
-    /// the commit on the leader.
+    /// Creates a connection like [`ReplicaConnection::sibling`] whose timeout covers the transfer
+    /// of `bytes` and the commit on the leader.
     pub fn for_bytes(&self, bytes: usize) -> ReplicaConnection {
         ReplicaConnection {
             address: self.address.clone(),
--- a/crates/cherrystream-control/src/rpc_server.rs
+++ b/crates/cherrystream-control/src/rpc_server.rs
@@ -1,7 +1,7 @@
 //! RPC server of a control replica, called by daemons and by the other replicas.
 
 use crate::arrivals::Arrivals;
-use crate::distribution::{Distribution, Lacking};
+use crate::distribution::{Distribution, PendingUpdate};
 use crate::errors::{Error, Result};
 use crate::handle::{Event, Handle, NoResult};
 use crate::metrics::Metrics;
@@ -169,11 +169,11 @@
     }
 
     /// Returns the reply to a heartbeat.
-    fn sync_reply(&self, req: &SyncRequest, lacking: Lacking) -> SyncReply {
-        let (update, offer) = match lacking {
-            Lacking::Nothing | Lacking::Later => (None, None),
-            Lacking::Short(update) => (Some(*update), None),
-            Lacking::Long(offer) => (None, Some(offer)),
+    fn sync_reply(&self, req: &SyncRequest, pending: PendingUpdate) -> SyncReply {
+        let (update, offer) = match pending {
+            PendingUpdate::Nothing | PendingUpdate::Later => (None, None),
+            PendingUpdate::Short(update) => (Some(*update), None),
+            PendingUpdate::Long(offer) => (None, Some(offer)),
         };
         let state = self.handle.state.read();
         let age = self.handle.state_contact().age();
@@ -193,23 +193,23 @@
     }
 
     /// Waits until there is an update that the daemon may receive, or until the deadline.
-    async fn lacking(&self, req: &SyncRequest, until: Instant) -> Lacking {
+    async fn pending_update(&self, req: &SyncRequest, until: Instant) -> PendingUpdate {
         // A confirmed read also returns changes that are committed and not announced yet.
         if !req.confirmed && *self.released.borrow() <= req.held {
-            return Lacking::Nothing;
+            return PendingUpdate::Nothing;
         }
         loop {
             let now = self.handle.clock.now();
             let state = &self.handle.state;
-            let lacking = self.distribution.lacking(now, state, req, &self.reach);
-            let waits = match lacking {
-                Lacking::Later => true,
+            let pending = self.distribution.pending_update(now, state, req, &self.reach);
+            let waits = match pending {
+                PendingUpdate::Later => true,
                 // There is a newer revision, and this daemon may not fetch it yet.
-                Lacking::Nothing => *self.released.borrow() > req.held,
-                Lacking::Short(_) | Lacking::Long(_) => false,
+                PendingUpdate::Nothing => *self.released.borrow() > req.held,
+                PendingUpdate::Short(_) | PendingUpdate::Long(_) => false,
             };
             if !waits || Instant::now() + RECHECK_INTERVAL > until {
-                return lacking;
+                return pending;
             }
             tokio::time::sleep(RECHECK_INTERVAL).await;
         }
@@ -285,8 +285,8 @@
             let pending = req.fetching.as_ref().map_or(req.held, |f| f.id.to.max(req.held));
             self.wait_for_change(pending, until).await;
         }
-        let lacking = self.lacking(&req, until).await;
-        Ok(self.sync_reply(&req, lacking))
+        let pending = self.pending_update(&req, until).await;
+        Ok(self.sync_reply(&req, pending))
     }
 
     async fn claim(&self, req: ClaimRequest) -> RpcResult<ClaimReply> {
