--- a/crates/cherrystream-control/src/driver.rs
+++ b/crates/cherrystream-control/src/driver.rs
@@ -40,7 +40,7 @@
     pub(crate) state: Arc<RwLock<ControlState>>,
     standing: watch::Sender<Standing>,
     addresses: Arc<RwLock<BTreeMap<u64, ReplicaAddress>>>,
-    quorum_word: Arc<RwLock<Option<Timestamp>>>,
+    last_quorum_contact: Arc<RwLock<Option<Timestamp>>>,
     caught_up: Arc<RwLock<Option<Timestamp>>>,
     pub(crate) peers: Peers,
     metrics: Metrics,
@@ -100,7 +100,7 @@
         .map_err(crate::errors::folder("start the thread that applies entries"))?;
     let (standing, standing_rx) = watch::channel(Standing::default());
     let addresses = Arc::<RwLock<BTreeMap<u64, ReplicaAddress>>>::default();
-    let quorum_word = Arc::<RwLock<Option<Timestamp>>>::default();
+    let last_quorum_contact = Arc::<RwLock<Option<Timestamp>>>::default();
     let caught_up = Arc::<RwLock<Option<Timestamp>>>::default();
     let handle = Handle {
         events,
@@ -108,7 +108,7 @@
         standing: standing_rx,
         replica: id,
         addresses: addresses.clone(),
-        quorum_word: quorum_word.clone(),
+        last_quorum_contact: last_quorum_contact.clone(),
         caught_up: caught_up.clone(),
         clock,
     };
@@ -118,7 +118,7 @@
         state,
         standing,
         addresses,
-        quorum_word,
+        last_quorum_contact,
         caught_up,
         peers,
         metrics,
@@ -356,7 +356,7 @@
         let now = self.clock.now();
         let age = self.raft.quorum_contact(now).age();
         let heard = age.map(|age| now.earlier(age).unwrap_or_default());
-        *self.quorum_word.write() = heard;
+        *self.last_quorum_contact.write() = heard;
         if self.applied.index >= self.raft.known_commit() {
             *self.caught_up.write() = heard;
         }
--- a/crates/cherrystream-control/src/handle.rs
+++ b/crates/cherrystream-control/src/handle.rs
@@ -82,7 +82,7 @@
     /// Addresses of all replicas; empty if the addresses are fixed.
     pub addresses: Arc<RwLock<BTreeMap<u64, ReplicaAddress>>>,
     /// Last contact with a leader that has a quorum, on the driver's clock.
-    pub quorum_word: Arc<RwLock<Option<Timestamp>>>,
+    pub last_quorum_contact: Arc<RwLock<Option<Timestamp>>>,
     /// Last time at which everything announced by a leader with a quorum was applied, on the
     /// driver's clock.
     pub caught_up: Arc<RwLock<Option<Timestamp>>>,
@@ -126,7 +126,7 @@
 
     /// Returns the age of the last contact with a leader that has a quorum.
     pub fn quorum_contact(&self) -> QuorumContact {
-        self.contact_at(*self.quorum_word.read())
+        self.contact_at(*self.last_quorum_contact.read())
     }
 
     /// Returns the age of the applied state, relative to what a leader with a quorum announced. The
