--- a/crates/cherrystream-daemon/tests/keys.rs
+++ b/crates/cherrystream-daemon/tests/keys.rs
@@ -1,4 +1,5 @@
-//! Requests whose key is taken away, or moves, while they wait: what other daemons see of them, and what their callers are told.
+//! Requests whose key is revoked, or moved to another workspace, while they wait: what is sent to
+//! other daemons, and what the caller receives.
 
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::reservations::Reservation;
@@ -29,46 +30,48 @@
 use tokio::sync::Semaphore;
 
 const KEY: &str = "key-of-a-studio-0123456789";
-/// A path whose requests may be repeated, one whose requests may not, and one that needs no key.
+/// Path of requests that may be repeated.
 const SAFE: &str = "/safe/";
+/// Path of requests that may not be repeated.
 const ONCE: &str = "/once/";
+/// Path of requests that need no key.
 const KEYLESS: &str = "/keyless/";
 
-/// What a peer was asked.
+/// A request that the peer received.
 #[derive(Clone, Debug, PartialEq)]
-struct Asked {
+struct Received {
     op: Op,
     workspace: Option<String>,
 }
 
-/// A daemon beside backend servers. It holds its first answer back until the test lets it go.
+/// Another daemon with backend servers. It delays its first answer until the test releases it.
 struct Peer {
-    /// Whether the first answer is a refusal that leads to another attempt.
+    /// Whether the first answer is a refusal that the daemon retries.
     refuses_first: bool,
-    go: Semaphore,
-    asked: Mutex<Vec<Asked>>,
+    release: Semaphore,
+    received: Mutex<Vec<Received>>,
 }
 
 impl Peer {
     async fn answer(self: Arc<Self>, req: Request<Incoming>) -> Response<Body> {
         let (parts, incoming) = req.into_parts();
-        let told = format!("{:?}", parts.headers);
-        assert!(!told.contains(KEY) && !parts.headers.contains_key("authorization"), "{told}");
-        // Daemons also ask each other what has ended backend servers; nothing is known of that here.
+        let text = format!("{:?}", parts.headers);
+        assert!(!text.contains(KEY) && !parts.headers.contains_key("authorization"), "{text}");
+        // Daemons also exchange suspect requests; this peer has none.
         if Op::read(&parts.headers) == Some(Op::Suspects) {
             return Response::new(body::empty());
         }
-        let op = Op::read(&parts.headers).expect("a daemon names what it asks");
+        let op = Op::read(&parts.headers).expect("a request of a daemon has an operation");
         let (aim, head) = hop::read_call(&parts.headers).expect("a call has a head");
         let workspace = aim.workspace.map(str::to_string);
         let is_first = {
-            let mut asked = self.asked.lock();
-            asked.push(Asked { op, workspace });
-            asked.len() == 1
+            let mut received = self.received.lock();
+            received.push(Received { op, workspace });
+            received.len() == 1
         };
         drop(body::read_start(body::incoming(incoming), 1 << 20).await);
         if is_first {
-            self.go.acquire().await.unwrap().forget();
+            self.release.acquire().await.unwrap().forget();
         }
         let refused = Refused::new(Reason::BusyNow);
         match op {
@@ -80,12 +83,12 @@
         }
     }
 
-    fn asked(&self) -> Vec<Asked> {
-        self.asked.lock().clone()
+    fn received(&self) -> Vec<Received> {
+        self.received.lock().clone()
     }
 }
 
-/// A daemon whose only backend servers are beside a peer.
+/// A daemon whose only backend servers run at a peer.
 struct Site {
     peer: Arc<Peer>,
     daemon: Daemon,
@@ -158,7 +161,11 @@
     async fn start(refuses_first: bool) -> Site {
         let listener = serve::listen("127.0.0.1:0").await.unwrap();
         let state = state(&listener.local_addr().unwrap().to_string());
-        let peer = Arc::new(Peer { refuses_first, go: Semaphore::new(0), asked: Mutex::default() });
+        let peer = Arc::new(Peer {
+            refuses_first,
+            release: Semaphore::new(0),
+            received: Mutex::default(),
+        });
         let handler = peer.clone();
         let answer = move |req| handler.clone().answer(req);
         tokio::spawn(serve::serve(listener, Phases::default(), answer));
@@ -180,25 +187,26 @@
         };
         let daemon = Daemon::start(&all, all.daemon.as_ref().unwrap(), cx).await.unwrap();
         let site = Site { peer, daemon, callers, revision: AtomicU64::new(0), state };
-        site.hold("studio").await;
+        site.assign_key("studio").await;
         site
     }
 
-    /// Has a workspace hold the key, and nobody when it is named so; waits until the daemon goes by that.
-    async fn hold(&self, workspace: &str) {
+    /// Assigns the key to a workspace, or to none for the name `nobody`; waits until the daemon
+    /// applies that.
+    async fn assign_key(&self, workspace: &str) {
         let mut state = self.state.clone();
         let keys = if workspace == "nobody" { vec![] } else { vec![workspaces::digest(KEY)] };
-        let held = Workspace { key_digests: keys, ..Workspace::default() };
-        state.config.workspaces.insert(workspace.into(), held);
+        let record = Workspace { key_digests: keys, ..Workspace::default() };
+        state.config.workspaces.insert(workspace.into(), record);
         let index = self.revision.fetch_add(1, Ordering::SeqCst) + 1;
         let revision = Revision { term: 1, index };
         let update = Update { revision, changes: Vec::new(), full: Some(state) };
         assert!(self.daemon.held().take(update));
-        // The daemon goes by it once a request without a route and with the key is told so.
+        // Applied once a request to a path without a route gets the status that the key leads to.
         for _ in 0..1_000 {
             let wanted = if workspace == "nobody" { 401 } else { 404 };
-            if self.ask("/none/", Some(KEY)).await == wanted
-                && self.ask("/none/", None).await == 401
+            if self.send("/none/", Some(KEY)).await == wanted
+                && self.send("/none/", None).await == 401
             {
                 return;
             }
@@ -207,8 +215,8 @@
         panic!("revision {index} is not in force after 5 s");
     }
 
-    async fn ask(&self, path: &str, key: Option<&str>) -> u16 {
-        ask(&Pool::new(&self.callers, Default::default()), path, key).await
+    async fn send(&self, path: &str, key: Option<&str>) -> u16 {
+        send(&Pool::new(&self.callers, Default::default()), path, key).await
     }
 
     /// Sends a request and waits until the peer has it.
@@ -218,22 +226,22 @@
         key: Option<&'static str>,
     ) -> tokio::task::JoinHandle<u16> {
         let pool = Pool::new(&self.callers, Default::default());
-        let asking = tokio::spawn(async move { ask(&pool, path, key).await });
+        let sending = tokio::spawn(async move { send(&pool, path, key).await });
         for _ in 0..1_000 {
-            if !self.peer.asked().is_empty() {
-                return asking;
+            if !self.peer.received().is_empty() {
+                return sending;
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        panic!("the peer was not asked within 5 s");
+        panic!("the peer received no request within 5 s");
     }
 
-    fn let_go(&self) {
-        self.peer.go.add_permits(1);
+    fn release_answer(&self) {
+        self.peer.release.add_permits(1);
     }
 }
 
-async fn ask(pool: &Pool, path: &str, key: Option<&str>) -> u16 {
+async fn send(pool: &Pool, path: &str, key: Option<&str>) -> u16 {
     let method = if path == ONCE { "POST" } else { "GET" };
     let mut req = Request::builder().method(method).uri(path).header("host", "a.example");
     req = req.header("cherrystream-workspace", "forged");
@@ -251,88 +259,89 @@
     status
 }
 
-fn call_of(workspace: &str) -> Asked {
-    Asked { op: Op::Call, workspace: Some(workspace.into()) }
+fn call_of(workspace: &str) -> Received {
+    Received { op: Op::Call, workspace: Some(workspace.into()) }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_that_is_revoked_binds_the_next_request_of_a_kept_connection() {
+async fn a_revoked_key_is_rejected_on_a_connection_that_stays_open() {
     let site = Site::start(false).await;
-    site.let_go();
+    site.release_answer();
     let pool = Pool::new(&site.callers, Default::default());
-    assert_eq!(ask(&pool, SAFE, Some(KEY)).await, 200);
-    assert_eq!(ask(&pool, SAFE, Some("another")).await, 401);
-    assert_eq!(ask(&pool, SAFE, None).await, 401);
-    site.hold("nobody").await;
-    assert_eq!(ask(&pool, SAFE, Some(KEY)).await, 401);
-    site.hold("studio").await;
-    assert_eq!(ask(&pool, SAFE, Some(KEY)).await, 200);
-    assert_eq!(site.peer.asked(), [call_of("studio"), call_of("studio")]);
+    assert_eq!(send(&pool, SAFE, Some(KEY)).await, 200);
+    assert_eq!(send(&pool, SAFE, Some("another")).await, 401);
+    assert_eq!(send(&pool, SAFE, None).await, 401);
+    site.assign_key("nobody").await;
+    assert_eq!(send(&pool, SAFE, Some(KEY)).await, 401);
+    site.assign_key("studio").await;
+    assert_eq!(send(&pool, SAFE, Some(KEY)).await, 200);
+    assert_eq!(site.peer.received(), [call_of("studio"), call_of("studio")]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_is_not_sent_again_under_a_key_that_was_revoked_meanwhile() {
+async fn a_request_is_not_retried_under_a_key_that_was_revoked_meanwhile() {
     let site = Site::start(true).await;
-    let asking = site.begin(SAFE, Some(KEY)).await;
-    site.hold("nobody").await;
-    site.let_go();
-    assert_eq!(asking.await.unwrap(), 401);
-    assert_eq!(site.peer.asked(), [call_of("studio")]);
+    let sending = site.begin(SAFE, Some(KEY)).await;
+    site.assign_key("nobody").await;
+    site.release_answer();
+    assert_eq!(sending.await.unwrap(), 401);
+    assert_eq!(site.peer.received(), [call_of("studio")]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_whose_key_has_moved_is_sent_again_under_the_new_workspace() {
+async fn a_request_whose_key_has_moved_is_retried_under_the_new_workspace() {
     let site = Site::start(true).await;
-    let asking = site.begin(SAFE, Some(KEY)).await;
-    site.hold("guild").await;
-    site.let_go();
-    assert_eq!(asking.await.unwrap(), 200);
-    assert_eq!(site.peer.asked(), [call_of("studio"), call_of("guild")]);
+    let sending = site.begin(SAFE, Some(KEY)).await;
+    site.assign_key("guild").await;
+    site.release_answer();
+    assert_eq!(sending.await.unwrap(), 200);
+    assert_eq!(site.peer.received(), [call_of("studio"), call_of("guild")]);
 }
 
-/// The slot was waited for; nothing of the request has been sent yet.
+/// The request waits for a reservation; nothing of it has been sent to the peer yet.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_waits_for_its_slot_is_not_sent_once_its_key_is_revoked() {
     let site = Site::start(false).await;
-    let asking = site.begin(ONCE, Some(KEY)).await;
-    // It is given up as silent after a while, and asked again: each question is for a slot only.
-    site.hold("nobody").await;
-    site.let_go();
-    assert_eq!(asking.await.unwrap(), 401);
-    let asked = site.peer.asked();
-    assert!(asked.iter().all(|asked| asked.op == Op::Reserve), "{asked:?}");
+    let sending = site.begin(ONCE, Some(KEY)).await;
+    // The reservation times out and is retried: no attempt may send the request itself.
+    site.assign_key("nobody").await;
+    site.release_answer();
+    assert_eq!(sending.await.unwrap(), 401);
+    let received = site.peer.received();
+    assert!(received.iter().all(|req| req.op == Op::Reserve), "{received:?}");
 }
 
-/// The first attempt was sent in time, so its answer counts; a second one would begin under a revoked key.
+/// The first attempt was sent under a valid key, so its answer is returned; a second one would be
+/// sent under a revoked key.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_second_attempt_joins_under_a_key_that_was_revoked_meanwhile() {
+async fn no_request_is_hedged_under_a_key_that_was_revoked_meanwhile() {
     let site = Site::start(false).await;
-    let asking = site.begin(SAFE, Some(KEY)).await;
-    site.hold("nobody").await;
-    // Far longer than a first attempt is waited for.
+    let sending = site.begin(SAFE, Some(KEY)).await;
+    site.assign_key("nobody").await;
+    // Far longer than the delay of a second attempt.
     tokio::time::sleep(Duration::from_millis(6_000)).await;
-    site.let_go();
-    assert_eq!(asking.await.unwrap(), 200);
-    assert_eq!(site.peer.asked(), [call_of("studio")]);
+    site.release_answer();
+    assert_eq!(sending.await.unwrap(), 200);
+    assert_eq!(site.peer.received(), [call_of("studio")]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_second_attempt_carries_the_workspace_too() {
+async fn a_hedged_request_carries_the_workspace() {
     let site = Site::start(false).await;
-    let asking = site.begin(SAFE, Some(KEY)).await;
-    assert_eq!(asking.await.unwrap(), 200, "the second attempt is answered at once");
-    assert_eq!(site.peer.asked(), [call_of("studio"), call_of("studio")]);
+    let sending = site.begin(SAFE, Some(KEY)).await;
+    assert_eq!(sending.await.unwrap(), 200, "the second attempt is answered at once");
+    assert_eq!(site.peer.received(), [call_of("studio"), call_of("studio")]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_needs_no_key_goes_on_without_a_workspace_when_its_key_is_revoked() {
+async fn a_request_that_needs_no_key_is_retried_without_a_workspace_when_its_key_is_revoked() {
     let site = Site::start(true).await;
-    let asking = site.begin(KEYLESS, Some(KEY)).await;
-    site.hold("nobody").await;
-    site.let_go();
-    assert_eq!(asking.await.unwrap(), 200);
-    let without = Asked { op: Op::Call, workspace: None };
-    assert_eq!(site.peer.asked(), [call_of("studio"), without.clone()]);
-    assert_eq!(site.ask(KEYLESS, None).await, 200, "a forged name does not go on");
-    assert_eq!(site.peer.asked().last(), Some(&without));
+    let sending = site.begin(KEYLESS, Some(KEY)).await;
+    site.assign_key("nobody").await;
+    site.release_answer();
+    assert_eq!(sending.await.unwrap(), 200);
+    let without = Received { op: Op::Call, workspace: None };
+    assert_eq!(site.peer.received(), [call_of("studio"), without.clone()]);
+    assert_eq!(site.send(KEYLESS, None).await, 200, "a forged workspace is not forwarded");
+    assert_eq!(site.peer.received().last(), Some(&without));
 }
--- a/crates/cherrystream-daemon/tests/reports.rs
+++ b/crates/cherrystream-daemon/tests/reports.rs
@@ -1,4 +1,4 @@
-//! Reports of the instance beside a daemon that come before the daemon knows what was registered.
+//! Reports of the instance beside a daemon, before and after control confirmed what is registered.
 
 use cherrystream_core::instances::InstanceReport;
 use cherrystream_core::shared;
@@ -51,19 +51,19 @@
     Arc::new(Doors::new("own".into(), opts, Clock::default(), header, metrics))
 }
 
-/// Load: all hosts are back after a loss of power. A report that is turned away comes again only after the backend
-/// server's own pause, and no request is served beside it until then.
+/// A refused report is repeated only after the pause of the backend server, which serves no request
+/// until then.
 #[tokio::test]
-async fn a_report_that_comes_before_the_word_of_control_is_taken_with_it() {
+async fn a_report_waits_until_control_confirms_the_registered_state() {
     let instances = instances();
     let reporting = instances.clone();
     let report =
         tokio::spawn(async move { reporting.report(InstanceReport::Running(instance())).await });
     tokio::time::sleep(Duration::from_millis(400)).await;
-    assert!(!report.is_finished(), "it is turned away");
+    assert!(!report.is_finished(), "the report is refused");
     instances.on_confirmed(None, Revision { term: 1, index: 1 });
     tokio::time::sleep(Duration::from_millis(100)).await;
-    assert_eq!(instances.current(), Some(instance()), "it is to be registered");
+    assert_eq!(instances.current(), Some(instance()), "the instance has to be registered");
     let record = InstanceRecord {
         instance: instance(),
         retired: Vec::new(),
@@ -74,14 +74,14 @@
 }
 
 #[tokio::test]
-async fn a_report_is_turned_away_in_time_where_control_stays_away() {
+async fn a_report_is_refused_in_time_if_control_is_unreachable() {
     let instances = instances();
     let report = instances.report(InstanceReport::Running(instance()));
     let answered = tokio::time::timeout(Duration::from_millis(950), report).await;
-    assert_eq!(answered.expect("whoever reports has given up"), ReportAnswer::NotNow);
+    assert_eq!(answered.expect("the reporting instance has given up"), ReportAnswer::NotNow);
 }
 
-/// A report of another writer: the instance that is registered holds, and it is counted each time.
+/// A report from a wrong source must not replace the registered instance; each one is counted.
 #[tokio::test]
 async fn a_report_for_a_service_that_is_not_configured_replaces_no_instance() {
     let metrics = Metrics::default();
--- a/crates/cherrystream-daemon/tests/successors.rs
+++ b/crates/cherrystream-daemon/tests/successors.rs
@@ -1,4 +1,4 @@
-//! Calls for an instance that another one of its service has followed.
+//! Calls for an instance that another one of its service has replaced.
 
 use cherrystream_core::attempts::{Claimed, RequestKey};
 use cherrystream_core::deadline::Deadline;
@@ -21,9 +21,9 @@
 
 const WAIT: Duration = Duration::from_millis(500);
 
-/// Starts a daemon beside an instance, `i-2` of `orders`, that holds a state.
+/// Starts a daemon with a configuration and an instance, `i-2` of `orders`.
 async fn daemon() -> Daemon {
-    let daemon = daemon_without_state().await;
+    let daemon = daemon_without_config().await;
     let update = Update {
         revision: Revision { term: 1, index: 1 },
         changes: Vec::new(),
@@ -34,7 +34,7 @@
     daemon
 }
 
-async fn daemon_without_state() -> Daemon {
+async fn daemon_without_config() -> Daemon {
     let text = "host: own\nfailure_domain: a\nclosed_network: true\ndaemon:\n  caller_address: \
                 127.0.0.1:0\n  peer_address: 127.0.0.1:0\n  control: [127.0.0.1:1]\n";
     let all = settings::read(text).unwrap();
@@ -64,7 +64,7 @@
     }
 }
 
-/// A call for `i-1`, which ran beside the daemon before.
+/// Returns a call for `i-1`, the previous instance.
 fn call(service: &str) -> InboundCall {
     InboundCall {
         service: service.into(),
@@ -86,33 +86,32 @@
     }
 }
 
-/// Load: all hosts are back after a loss of power and hold the state of before, in which every instance is an earlier
-/// one.
+/// After a power failure of all hosts, their recovered state names only previous instances.
 #[tokio::test]
-async fn the_instance_that_runs_now_serves_a_call_for_an_earlier_one() {
+async fn the_running_instance_serves_a_call_for_a_previous_one() {
     let daemon = daemon().await;
     let reserved = daemon.inbound().reserve(call("orders")).await;
     assert!(reserved.result.is_ok(), "{:?}", reserved.result.err().map(|refused| refused.reason));
 }
 
 #[tokio::test]
-async fn an_instance_of_another_service_serves_no_such_call() {
+async fn an_instance_of_another_service_does_not_serve_a_call_for_a_previous_one() {
     let daemon = daemon().await;
     let refused = daemon.inbound().reserve(call("quotes")).await.result.err().unwrap();
     assert_eq!(refused.reason, Reason::NotHere);
 }
 
 #[tokio::test]
-async fn an_instance_that_leaves_serves_no_such_call() {
+async fn a_draining_instance_does_not_serve_a_call_for_a_previous_one() {
     let daemon = daemon().await;
     daemon.inbound().doors.set_instance(Some(&instance(ServerState::Draining)), true);
     let refused = daemon.inbound().reserve(call("orders")).await.result.err().unwrap();
     assert_eq!(refused.reason, Reason::Draining);
 }
 
-/// The ledger holds which backend server an attempt is for.
+/// A claim in the ledger is bound to one backend server: another one must not serve the call.
 #[tokio::test]
-async fn a_claimed_call_goes_to_its_own_backend_server_only() {
+async fn a_claimed_call_is_served_by_its_own_backend_server_only() {
     let daemon = daemon().await;
     let key = RequestKey { service: "orders".into(), key: "key-1".into() };
     let claimed = Claimed { claim: 1, index: 1, incarnation: daemon.inbound().incarnation };
@@ -121,39 +120,42 @@
     assert_eq!(refused.reason, Reason::NotHere);
 }
 
-/// Load: all hosts are back after a loss of power, and the state comes later to one than to others. It does not know yet
-/// what its cold backend server takes; served without a bound, that got 40 requests in a second and fell over.
+/// Without a configuration the rate limit of a cold backend server is unknown; it must not be
+/// overloaded in the meantime.
 #[tokio::test]
-async fn a_host_that_holds_no_state_yet_takes_no_call() {
-    let daemon = daemon_without_state().await;
+async fn a_host_without_a_configuration_refuses_calls() {
+    let daemon = daemon_without_config().await;
     let refused = daemon.inbound().reserve(call("orders")).await.result.err().unwrap();
     assert_eq!(refused.reason, Reason::BusyNow);
     let refused = daemon.inbound().call(call("orders")).await.result.err().unwrap();
     assert_eq!(refused.reason, Reason::BusyNow);
 }
 
-/// The backend server started again: it holds none of the requests that the door to its earlier run counts.
+/// Guards against counting requests in flight at the previous instance against a restarted one.
 #[tokio::test]
-async fn a_run_under_the_same_identifier_gets_a_door_of_its_own() {
+async fn a_restart_under_the_same_identifier_starts_with_new_admission() {
     let daemon = daemon().await;
     let doors = &daemon.inbound().doors;
-    let mut run = Instance { slots: 1, id: "i-3".into(), ..instance(ServerState::Live) };
-    doors.set_instance(Some(&run), true);
-    let earlier = doors.instance().unwrap();
+    let mut instance = Instance { slots: 1, id: "i-3".into(), ..instance(ServerState::Live) };
+    doors.set_instance(Some(&instance), true);
+    let previous = doors.instance().unwrap();
     assert!(daemon.inbound().reserve(call("orders")).await.result.is_ok());
     let inbound = daemon.inbound().clone();
-    let waits = tokio::spawn(async move { inbound.reserve(call("orders")).await.result.err() });
-    while earlier.report(1).queued == 0 {
+    let queued = tokio::spawn(async move { inbound.reserve(call("orders")).await.result.err() });
+    while previous.report(1).queued == 0 {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    run = Instance { born_ms: 7, ..run };
-    doors.set_instance(Some(&run), true);
-    let now = doors.instance().unwrap();
-    assert!(!Arc::ptr_eq(&now, &earlier));
-    assert_eq!((now.report(1).in_flight, earlier.report(1).in_flight), (0, 1));
-    let refused = waits.await.unwrap().unwrap();
-    assert_eq!(refused.reason, Reason::BackendServerDown, "what waited may go elsewhere");
+    instance = Instance { born_ms: 7, ..instance };
+    doors.set_instance(Some(&instance), true);
+    let current = doors.instance().unwrap();
+    assert!(!Arc::ptr_eq(&current, &previous));
+    assert_eq!((current.report(1).in_flight, previous.report(1).in_flight), (0, 1));
+    let refused = queued.await.unwrap().unwrap();
+    assert_eq!(refused.reason, Reason::BackendServerDown, "a queued request may be sent elsewhere");
     assert!(daemon.inbound().reserve(call("orders")).await.result.is_ok());
-    doors.set_instance(Some(&Instance { sequence: 2, ..run }), true);
-    assert!(Arc::ptr_eq(&now, &doors.instance().unwrap()), "a further word of the same run");
+    doors.set_instance(Some(&Instance { sequence: 2, ..instance }), true);
+    assert!(
+        Arc::ptr_eq(&current, &doors.instance().unwrap()),
+        "a further report of the same instance replaces nothing"
+    );
 }
