--- a/crates/cherrystream-daemon/src/inbound/exchange.rs
+++ b/crates/cherrystream-daemon/src/inbound/exchange.rs
@@ -1,8 +1,8 @@
 //! Sends a request to the backend server and checks its answer.
 
 use super::{HELD_BYTES, Inbound, InboundCall};
-use crate::door::{Door, Permit};
 use crate::headers;
+use crate::local_server::{LocalServer, Permit};
 use crate::metrics::ServerLabel;
 use crate::refusal::Refused;
 use crate::suspects::{AlonePlace, AtWork};
@@ -23,16 +23,16 @@
     /// Sends the request and returns the answer. The slot is occupied until the end of the answer.
     pub(super) async fn exchange(
         &self,
-        door: &Arc<Door>,
+        server: &Arc<LocalServer>,
         permit: Permit,
         place: Option<AlonePlace>,
         call: InboundCall,
     ) -> Result<Response<Body>, Refused> {
-        let connection = self.connect(door, call.deadline).await?;
+        let connection = self.connect(server, call.deadline).await?;
         // The request may have become a suspect while it waited.
         let place = match place {
             Some(place) => Some(place),
-            None => self.check_suspect(door, &call)?,
+            None => self.check_suspect(server, &call)?,
         };
         let Some(remaining) = call.deadline.remaining(self.clock.now()) else {
             return Err(self.refuse(Reason::DeadlineBeforeStart));
@@ -40,17 +40,17 @@
         let mut req = call.req;
         let send = SendHead {
             id: &call.call,
-            instance: Some(&door.id.name),
+            instance: Some(&server.id.name),
             time_left: remaining,
             workspace: call.workspace.as_deref(),
         };
         self.interface.write_send(req.headers_mut(), &send);
         *req.version_mut() = http::Version::HTTP_11;
-        let label = ServerLabel { server: door.id.name.to_string() };
+        let label = ServerLabel { server: server.id.name.to_string() };
         self.metrics.dispatched.get_or_create(&label).inc();
         permit.sent();
-        let at_work = AtWork::begin(&self.suspects, door, call.identity, place);
-        let sending = door.backend.send(connection, req);
+        let at_work = AtWork::begin(&self.suspects, server, call.identity, place);
+        let sending = server.backend.send(connection, req);
         let res = match tokio::time::timeout(remaining, sending).await {
             Ok(Ok(res)) => res,
             Ok(Err(NoAnswer::NotSent)) => {
@@ -66,16 +66,20 @@
                 return Err(self.refuse(Reason::DeadlinePassed));
             }
         };
-        self.check_answer(door, res, &call.call, permit, at_work)
+        self.check_answer(server, res, &call.call, permit, at_work)
     }
 
-    async fn connect(&self, door: &Arc<Door>, deadline: Deadline) -> Result<Connection, Refused> {
+    async fn connect(
+        &self,
+        server: &Arc<LocalServer>,
+        deadline: Deadline,
+    ) -> Result<Connection, Refused> {
         let remaining = deadline.remaining(self.clock.now()).unwrap_or(Duration::ZERO);
-        match tokio::time::timeout(remaining, door.backend.connection()).await {
+        match tokio::time::timeout(remaining, server.backend.connection()).await {
             Ok(Ok(connection)) => Ok(connection),
             Ok(Err(_)) => {
-                door.on_check(Check::Failed);
-                self.suspects.look(door);
+                server.on_check(Check::Failed);
+                self.suspects.look(server);
                 Err(self.refuse(Reason::BackendServerDown))
             }
             Err(_) => Err(self.refuse(Reason::DeadlineBeforeStart)),
@@ -85,7 +89,7 @@
     /// Checks that the answer belongs to the call. Frees the slot at the end of the answer.
     fn check_answer(
         &self,
-        door: &Arc<Door>,
+        server: &Arc<LocalServer>,
         res: Response<Body>,
         call: &str,
         permit: Permit,
@@ -93,7 +97,7 @@
     ) -> Result<Response<Body>, Refused> {
         let (mut parts, body) = res.into_parts();
         if let Some(load) = self.interface.read_load(&parts) {
-            door.on_load(&load);
+            server.on_load(&load);
         }
         match self.interface.read_execution(&parts, call) {
             Execution::Ran => {}
@@ -105,7 +109,7 @@
                 // The instance has been replaced by one that has not reported yet. Further requests
                 // would be refused too, and use up the arrivals that a request may have.
                 at_work.proves_nothing();
-                door.on_check(Check::Reported(ServerState::Down));
+                server.on_check(Check::Reported(ServerState::Down));
                 return Err(self.refuse(Reason::OtherInstance));
             }
             Execution::WrongRequest => {
--- a/crates/cherrystream-daemon/src/inbound/mod.rs
+++ b/crates/cherrystream-daemon/src/inbound/mod.rs
@@ -5,9 +5,9 @@
 mod exchange;
 mod slowness_probe;
 
-use crate::door::{Door, Permit};
-use crate::doors::Doors;
 use crate::held::HeldCell;
+use crate::local_server::{LocalServer, Permit};
+use crate::local_servers::LocalServers;
 use crate::metrics::{self, Metrics, ServerLabel};
 use crate::refusal::Refused;
 use crate::suspects::{AlonePlace, SuspectWatch};
@@ -114,7 +114,7 @@
     /// Random number that identifies this run of the process.
     pub incarnation: u64,
     /// Backend servers of this host.
-    pub doors: Arc<Doors>,
+    pub local_servers: Arc<LocalServers>,
     pub(crate) interface: Arc<dyn CallInterface>,
     pub(crate) suspects: Arc<SuspectWatch>,
     pub(crate) attempts: Mutex<Attempts<CachedAnswer>>,
@@ -133,41 +133,43 @@
 impl Inbound {
     /// Forwards a request to its backend server.
     pub async fn call(self: &Arc<Self>, call: InboundCall) -> InboundAnswer {
-        let Some(door) = self.server_for(&call) else {
+        let Some(server) = self.server_for(&call) else {
             return InboundAnswer { result: Err(self.refuse(Reason::NotHere)), report: None };
         };
-        let result = match self.check_ready().or_else(|| self.check_version(&door)) {
+        let result = match self.check_ready().or_else(|| self.check_version(&server)) {
             Some(reason) => Err(self.refuse(reason)),
-            None => self.forward(&door, call).await,
+            None => self.forward(&server, call).await,
         };
-        InboundAnswer { result, report: Some(door.report(self.incarnation)) }
+        InboundAnswer { result, report: Some(server.report(self.incarnation)) }
     }
 
     /// Returns the backend server that serves a call. If the sender chose a previous instance, the
     /// running one serves the call, except for a claimed call: a claim in the ledger is bound to
     /// one backend server.
-    fn server_for(&self, call: &InboundCall) -> Option<Arc<Door>> {
-        let named = self.doors.get(&call.service, &call.server);
+    fn server_for(&self, call: &InboundCall) -> Option<Arc<LocalServer>> {
+        let named = self.local_servers.get(&call.service, &call.server);
         named.or_else(|| match call.claimed {
-            None => self.doors.instance_of(&call.service),
+            None => self.local_servers.instance_of(&call.service),
             Some(_) => None,
         })
     }
 
     /// Reserves a slot for a call whose body follows.
     pub async fn reserve(self: &Arc<Self>, call: InboundCall) -> Reserved {
-        let Some(door) = self.server_for(&call) else {
+        let Some(server) = self.server_for(&call) else {
             return Reserved { result: Err(self.refuse(Reason::NotHere)), report: None };
         };
-        let result = match self.check_ready().or_else(|| self.check_version(&door)) {
+        let result = match self.check_ready().or_else(|| self.check_version(&server)) {
             Some(reason) => Err(self.refuse(reason)),
             // A request that runs in isolation takes its place only once its body is here.
-            None => match self.check_suspect(&door, &call) {
-                Ok(_) => self.admit(&door, &call).await.map(|permit| self.add_reservation(permit)),
+            None => match self.check_suspect(&server, &call) {
+                Ok(_) => {
+                    self.admit(&server, &call).await.map(|permit| self.add_reservation(permit))
+                }
                 Err(refused) => Err(refused),
             },
         };
-        Reserved { result, report: Some(door.report(self.incarnation)) }
+        Reserved { result, report: Some(server.report(self.incarnation)) }
     }
 
     fn add_reservation(&self, permit: Permit) -> Reservation {
@@ -177,10 +179,10 @@
     }
 
     /// Returns the slot that is reserved for a call at a backend server.
-    fn take_reservation(&self, door: &Arc<Door>, call: &InboundCall) -> Option<Permit> {
+    fn take_reservation(&self, server: &Arc<LocalServer>, call: &InboundCall) -> Option<Permit> {
         let name = call.reservation?;
         let permit = self.reservations.lock().take(self.clock.now(), name)?;
-        permit.is_for(door).then_some(permit)
+        permit.is_for(server).then_some(permit)
     }
 
     /// Frees the slots whose reservations have expired.
@@ -220,49 +222,49 @@
     /// Refuses requests while this host drains or has no configuration, which holds the rate limits
     /// of cold backend servers.
     fn check_ready(&self) -> Option<Reason> {
-        let is_configured = self.doors.is_configured();
+        let is_configured = self.local_servers.is_configured();
         (!is_configured).then_some(Reason::BusyNow).or_else(|| self.check_leaving())
     }
 
     /// Refuses requests to a version that was rolled back, and to a canary whose failures opened
     /// the circuit breaker or whose trial control has not confirmed lately: control could not roll
     /// it back then.
-    fn check_version(&self, door: &Door) -> Option<Reason> {
+    fn check_version(&self, server: &LocalServer) -> Option<Reason> {
         let held = self.held.get();
-        let rollout = held.shared.config.rollouts.get(&*door.id.service)?;
-        if rollout::is_held_back(Some(rollout), &door.version) {
+        let rollout = held.shared.config.rollouts.get(&*server.id.service)?;
+        if rollout::is_held_back(Some(rollout), &server.version) {
             return Some(Reason::VersionHeldBack);
         }
-        let is_canary = rollout::is_in_progress(rollout) && *door.version == *rollout.version;
+        let is_canary = rollout::is_in_progress(rollout) && *server.version == *rollout.version;
         if !is_canary {
             return None;
         }
         let trying = rollout.stage == RolloutStage::Trying;
         let confirmed = self.held.is_vouched_for(self.clock.now());
-        (trying && !confirmed || door.is_circuit_open()).then_some(Reason::VersionInDoubt)
+        (trying && !confirmed || server.is_circuit_open()).then_some(Reason::VersionInDoubt)
     }
 
     async fn forward(
         self: &Arc<Self>,
-        door: &Arc<Door>,
+        server: &Arc<LocalServer>,
         call: InboundCall,
     ) -> Result<Response<Body>, Refused> {
-        let place = self.check_suspect(door, &call)?;
+        let place = self.check_suspect(server, &call)?;
         let Some((key, claimed)) = call.claimed.clone() else {
-            let permit = match self.take_reservation(door, &call) {
+            let permit = match self.take_reservation(server, &call) {
                 Some(permit) => permit,
-                None => self.admit(door, &call).await?,
+                None => self.admit(server, &call).await?,
             };
-            return self.exchange(door, permit, place, call).await;
+            return self.exchange(server, permit, place, call).await;
         };
         self.attempts.lock().begin(&key, claimed).map_err(|reason| self.refuse(reason))?;
         let mut attempt = Attempt::new(self.clone(), key, claimed.claim);
-        let permit = self.admit(door, &call).await?;
+        let permit = self.admit(server, &call).await?;
         // Once sent, an unrepeatable request completes even if its caller disconnects, so that a
         // resend gets the answer and not an unknown outcome.
-        let (inbound, door) = (self.clone(), door.clone());
+        let (inbound, server) = (self.clone(), server.clone());
         let exchange = tokio::spawn(async move {
-            let result = inbound.exchange(&door, permit, place, call).await;
+            let result = inbound.exchange(&server, permit, place, call).await;
             attempt.settle(result).await
         });
         exchange.await.unwrap_or_else(|_| Err(self.refuse(Reason::BackendServerBroke)))
@@ -275,7 +277,7 @@
     /// Fails if the request is quarantined, or may not run in isolation here now.
     fn check_suspect(
         &self,
-        door: &Arc<Door>,
+        server: &Arc<LocalServer>,
         call: &InboundCall,
     ) -> Result<Option<AlonePlace>, Refused> {
         let must_be_isolated = match self.suspects.judge(call.identity.request) {
@@ -292,16 +294,16 @@
         if !call.alone {
             return Ok(None);
         }
-        let place = AlonePlace::take(door).ok_or_else(|| self.refuse(Reason::RunsAlone))?;
+        let place = AlonePlace::take(server).ok_or_else(|| self.refuse(Reason::RunsAlone))?;
         Ok(Some(place))
     }
 
     async fn admit(
         self: &Arc<Self>,
-        door: &Arc<Door>,
+        server: &Arc<LocalServer>,
         call: &InboundCall,
     ) -> Result<Permit, Refused> {
-        let nested = call.caller.as_ref().is_some_and(|c| door.is_nested_call(&call.kind, c));
+        let nested = call.caller.as_ref().is_some_and(|c| server.is_nested_call(&call.kind, c));
         let now = self.clock.now();
         // The parent request fails without its nested call, so the call waits until its deadline.
         let deadline = match nested {
@@ -316,17 +318,17 @@
             good_until: call.good_for.map(|time| now + time),
             typical_time: None,
         };
-        self.refresh_slowness(door, &arrival, &call.kind).await;
+        self.refresh_slowness(server, &arrival, &call.kind).await;
         let flow = self.flow(call);
         // Slots that are freed while the process ends must not start queued requests.
         let admitted = tokio::select! {
             biased;
             () = self.phases.reached(Phase::Ending) => return Err(self.refuse(Reason::HostLeaving)),
-            admitted = door.admit(arrival, &call.kind, flow.as_ref()) => admitted,
+            admitted = server.admit(arrival, &call.kind, flow.as_ref()) => admitted,
         };
         let permit = admitted.map_err(|refusal| {
             if refusal.yields_slot() {
-                let label = ServerLabel { server: door.id.name.to_string() };
+                let label = ServerLabel { server: server.id.name.to_string() };
                 self.metrics.made_way.get_or_create(&label).inc();
             }
             let refused = self.refuse(refusal.reason);
--- a/crates/cherrystream-daemon/src/inbound/slowness_probe.rs
+++ b/crates/cherrystream-daemon/src/inbound/slowness_probe.rs
@@ -1,7 +1,7 @@
 //! Refreshes the reported slowness of a backend server before a request is admitted.
 
 use super::Inbound;
-use crate::door::Door;
+use crate::local_server::LocalServer;
 use crate::measure;
 use cherrystream_core::admission::Arrival;
 use std::sync::Arc;
@@ -16,18 +16,18 @@
     /// report is mostly too old.
     pub(super) async fn refresh_slowness(
         self: &Arc<Self>,
-        door: &Arc<Door>,
+        server: &Arc<LocalServer>,
         arrival: &Arrival,
         kind: &str,
     ) {
-        if !door.needs_slowness_first(arrival, kind) {
+        if !server.needs_slowness_first(arrival, kind) {
             return;
         }
         // A late response is still read: it reports the slowness, and its connection is kept.
-        let probe = tokio::spawn(measure::probe_health(door.clone(), self.clone()));
+        let probe = tokio::spawn(measure::probe_health(server.clone(), self.clone()));
         if tokio::time::timeout(MAX_WAIT, probe).await.is_err() {
             // The request is decided on without it, and the next ones don't wait.
-            door.on_slowness_timeout();
+            server.on_slowness_timeout();
         }
     }
 }
--- a/crates/cherrystream-daemon/src/instances.rs
+++ b/crates/cherrystream-daemon/src/instances.rs
@@ -1,6 +1,6 @@
 //! The instance that reports itself to this daemon, and its registration.
 
-use crate::doors::Doors;
+use crate::local_servers::LocalServers;
 use cherrystream_core::instances::{InstanceReport, InstanceTracker, ReportOutcome};
 use cherrystream_core::units::Revision;
 use cherrystream_net::body::{self, Body, Start};
@@ -27,7 +27,7 @@
     /// Revision at which control last confirmed the registered state. Never locked together with
     /// another lock.
     confirmed_at: Mutex<Revision>,
-    doors: Arc<Doors>,
+    local_servers: Arc<LocalServers>,
     interface: Arc<dyn CallInterface>,
     /// Number of changes of the registered or wanted state.
     changes: watch::Sender<u64>,
@@ -35,9 +35,15 @@
 
 impl Instances {
     /// Creates a tracker without an instance.
-    pub fn new(doors: Arc<Doors>, interface: Arc<dyn CallInterface>) -> Instances {
+    pub fn new(local_servers: Arc<LocalServers>, interface: Arc<dyn CallInterface>) -> Instances {
         let (tracker, confirmed_at) = (Mutex::default(), Mutex::default());
-        Instances { tracker, confirmed_at, doors, interface, changes: watch::Sender::new(0) }
+        Instances {
+            tracker,
+            confirmed_at,
+            local_servers,
+            interface,
+            changes: watch::Sender::new(0),
+        }
     }
 
     /// Handles the record that control has confirmed as registered at a revision; returns whether
@@ -66,7 +72,7 @@
     /// Returns the counts of answers of the instance, while a roll-out of its service is in
     /// progress.
     pub fn tally(&self) -> Option<VersionTally> {
-        self.doors.instance().and_then(|door| door.version_counts())
+        self.local_servers.instance().and_then(|server| server.version_counts())
     }
 
     /// Returns a receiver that is notified of changes of the instance.
@@ -103,7 +109,7 @@
     fn check_service(&self, report: &InstanceReport) -> Result<(), BadReport> {
         let unknown = match report {
             InstanceReport::Running(instance) => {
-                Some(&instance.service).filter(|name| !self.doors.may_exist(name))
+                Some(&instance.service).filter(|name| !self.local_servers.may_exist(name))
             }
             InstanceReport::Stopping { .. } => None,
         };
@@ -118,7 +124,7 @@
     }
 
     fn reject(&self, bad: BadReport) -> ReportAnswer {
-        self.doors.on_bad_report(&bad);
+        self.local_servers.on_bad_report(&bad);
         ReportAnswer::Bad(bad.fault)
     }
 
@@ -172,8 +178,8 @@
         {
             return;
         }
-        if let Some(door) = self.doors.get(&instance.service, &instance.id) {
-            door.on_reported_warmth(instance.sequence, cold_for);
+        if let Some(server) = self.local_servers.get(&instance.service, &instance.id) {
+            server.on_reported_warmth(instance.sequence, cold_for);
         }
     }
 
@@ -192,7 +198,7 @@
             let is_new = current.as_ref().is_some_and(|instance| tracker.is_new(instance));
             (current, is_new)
         };
-        self.doors.set_instance(current.as_ref(), is_new);
+        self.local_servers.set_instance(current.as_ref(), is_new);
     }
 
     fn publish(&self) {
--- a/crates/cherrystream-daemon/src/lib.rs
+++ b/crates/cherrystream-daemon/src/lib.rs
@@ -9,8 +9,6 @@
 
 #![forbid(unsafe_code)]
 
-pub mod door;
-pub mod doors;
 pub mod errors;
 pub mod headers;
 pub mod held;
@@ -18,6 +16,8 @@
 pub mod inbound;
 pub mod instances;
 pub mod ledger;
+pub mod local_server;
+pub mod local_servers;
 pub mod measure;
 pub mod metrics;
 pub mod outbound;
--- a/crates/cherrystream-daemon/src/door.rs
+++ b/crates/cherrystream-daemon/src/local_server.rs
@@ -48,7 +48,7 @@
 }
 
 /// A backend server of this host, with its admission control. Every request to it passes here.
-pub struct Door {
+pub struct LocalServer {
     /// Service and name of the backend server.
     pub id: ServerName,
     /// Version of its software; empty if it reports none.
@@ -75,7 +75,7 @@
     rollout: RolloutRecord,
 }
 
-impl Door {
+impl LocalServer {
     /// Creates a backend server that is considered live.
     pub fn new(
         id: ServerName,
@@ -83,7 +83,7 @@
         opts: admission::Options,
         probes_per_second: u32,
         clock: Clock,
-    ) -> Door {
+    ) -> LocalServer {
         let inner = Inner {
             admission: Admission::new(opts),
             waiters: HashMap::new(),
@@ -95,12 +95,12 @@
         };
         let probe_budget = Mutex::new(ProbeBudget::new(probes_per_second));
         let (ends, inner) = (Mutex::default(), Mutex::new(inner));
-        Door { id, version: "".into(), backend, probe_budget, clock, ends, inner }
+        LocalServer { id, version: "".into(), backend, probe_budget, clock, ends, inner }
     }
 
     /// Sets the version.
-    pub fn with_version(self, version: &str) -> Door {
-        Door { version: version.into(), ..self }
+    pub fn with_version(self, version: &str) -> LocalServer {
+        LocalServer { version: version.into(), ..self }
     }
 
     /// Sets the roll-out of the service that is in progress, by its start in Unix milliseconds.
@@ -191,7 +191,7 @@
             Arrived::Admitted(permit) => return Ok(permit),
             Arrived::Queued(ticket, rx) => (ticket, rx),
         };
-        let _guard = QueueGuard { door: self, ticket };
+        let _guard = QueueGuard { server: self, ticket };
         let wait = arrival.deadline.since(self.clock.now());
         match tokio::time::timeout(wait, rx).await {
             Ok(Ok(result)) => result,
@@ -403,14 +403,14 @@
 
 /// Removes a request from the queue when its caller disconnects.
 struct QueueGuard<'a> {
-    door: &'a Arc<Door>,
+    server: &'a Arc<LocalServer>,
     ticket: Ticket,
 }
 
 impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
-        let now = self.door.clock.now();
-        let mut inner = self.door.inner.lock();
+        let now = self.server.clock.now();
+        let mut inner = self.server.inner.lock();
         inner.waiters.remove(&self.ticket);
         inner.admission.leave_queue(now, self.ticket);
     }
--- a/crates/cherrystream-daemon/src/door/permit.rs
+++ b/crates/cherrystream-daemon/src/local_server/permit.rs
@@ -1,13 +1,13 @@
 //! A concurrency slot of a backend server.
 
-use super::Door;
+use super::LocalServer;
 use cherrystream_core::admission::Ticket;
 use cherrystream_core::units::Timestamp;
 use std::sync::Arc;
 
 /// A slot of a backend server; dropping it frees the slot.
 pub struct Permit {
-    door: Arc<Door>,
+    server: Arc<LocalServer>,
     ticket: Ticket,
     work: Option<Work>,
     ending: Ending,
@@ -35,18 +35,18 @@
 }
 
 impl Permit {
-    pub(super) fn new(door: Arc<Door>, ticket: Ticket) -> Permit {
-        Permit { door, ticket, work: None, ending: Ending::Incomplete }
+    pub(super) fn new(server: Arc<LocalServer>, ticket: Ticket) -> Permit {
+        Permit { server, ticket, work: None, ending: Ending::Incomplete }
     }
 
     /// Returns whether this is a slot of the given backend server.
-    pub fn is_for(&self, door: &Arc<Door>) -> bool {
-        Arc::ptr_eq(&self.door, door)
+    pub fn is_for(&self, server: &Arc<LocalServer>) -> bool {
+        Arc::ptr_eq(&self.server, server)
     }
 
     pub(super) fn begin(mut self, kind: Arc<str>) -> Permit {
-        let since = self.door.clock.now();
-        let inner = self.door.inner.lock();
+        let since = self.server.clock.now();
+        let inner = self.server.inner.lock();
         let slowness = inner.admission.slowness(since);
         let is_cold = inner.admission.is_cold(since);
         drop(inner);
@@ -56,7 +56,7 @@
 
     /// Records that the request is sent to the backend server.
     pub fn sent(&self) {
-        self.door.on_sent(self.ticket);
+        self.server.on_sent(self.ticket);
     }
 
     /// Records a complete answer, and whether it reports a failure. Frees the slot.
@@ -74,9 +74,9 @@
     fn drop(&mut self) {
         let (ticket, ending) = (self.ticket, self.ending);
         let answered = matches!(ending, Ending::Answered { .. });
-        let door = self.door.clone();
+        let server = self.server.clone();
         let work = self.work.take();
-        door.update(|inner, now| {
+        server.update(|inner, now| {
             if let Some(work) = &work {
                 inner.count(now, work, ending);
             }
--- a/crates/cherrystream-daemon/src/doors.rs
+++ b/crates/cherrystream-daemon/src/local_servers.rs
@@ -1,7 +1,7 @@
 //! The backend servers of this host.
 
-use crate::door::{Door, ServerName};
 use crate::held::Held;
+use crate::local_server::{LocalServer, ServerName};
 use crate::metrics::{self, Metrics, ReasonLabel, ServerLabel};
 use cherrystream_core::admission;
 use cherrystream_core::cold_rate_limit::ColdLimits;
@@ -27,7 +27,7 @@
 
 /// Limits of the backend servers of this host.
 #[derive(Clone, Copy, Debug)]
-pub struct DoorOptions {
+pub struct LocalServerOptions {
     /// Requests that may be queued per slot.
     pub queue_per_slot: f64,
     /// Share of the slots that is used, initially if the concurrency limit is adaptive.
@@ -41,9 +41,9 @@
 }
 
 /// The backend servers of this host by service and name.
-pub struct Doors {
+pub struct LocalServers {
     host: Arc<str>,
-    opts: DoorOptions,
+    opts: LocalServerOptions,
     clock: Clock,
     /// Header of an answer that holds the identifier of its request.
     id_header: HeaderName,
@@ -51,7 +51,7 @@
     /// Rate limits of cold backend servers by service, once a configuration is in force. Locked
     /// last.
     cold_limits: RwLock<Option<BTreeMap<String, ColdLimits>>>,
-    doors: RwLock<BTreeMap<ServerName, Arc<Door>>>,
+    servers: RwLock<BTreeMap<ServerName, Arc<LocalServer>>>,
     /// Services of the configuration, once there is a route table. Never locked together with
     /// another lock.
     services: RwLock<Option<BTreeSet<String>>>,
@@ -63,37 +63,37 @@
 
 /// The running instance that reports itself to this daemon.
 struct CurrentInstance {
-    door: Arc<Door>,
+    server: Arc<LocalServer>,
     born_ms: u64,
 }
 
 impl CurrentInstance {
     fn matches(&self, report: &Instance) -> bool {
-        let id = &self.door.id;
+        let id = &self.server.id;
         let same_name = *id.service == *report.service && *id.name == *report.id;
-        let same_address = self.door.backend.address() == report.address;
-        let same_start = self.born_ms == report.born_ms && *self.door.version == *report.version;
+        let same_address = self.server.backend.address() == report.address;
+        let same_start = self.born_ms == report.born_ms && *self.server.version == *report.version;
         same_name && same_address && same_start
     }
 }
 
-impl Doors {
+impl LocalServers {
     /// Creates a host without backend servers.
     pub fn new(
         host: Arc<str>,
-        opts: DoorOptions,
+        opts: LocalServerOptions,
         clock: Clock,
         id_header: HeaderName,
         metrics: Metrics,
-    ) -> Doors {
-        Doors {
+    ) -> LocalServers {
+        LocalServers {
             host,
             opts,
             clock,
             id_header,
             metrics,
             cold_limits: RwLock::default(),
-            doors: RwLock::default(),
+            servers: RwLock::default(),
             services: RwLock::default(),
             logged_misreports: Mutex::default(),
             instance: RwLock::default(),
@@ -101,29 +101,29 @@
     }
 
     /// Returns the backend server of a service with a name.
-    pub fn get(&self, service: &str, name: &str) -> Option<Arc<Door>> {
+    pub fn get(&self, service: &str, name: &str) -> Option<Arc<LocalServer>> {
         let name = ServerName::new(service, name);
-        if let Some(current) = self.instance.read().as_ref().filter(|c| c.door.id == name) {
-            return Some(current.door.clone());
+        if let Some(current) = self.instance.read().as_ref().filter(|c| c.server.id == name) {
+            return Some(current.server.clone());
         }
-        self.doors.read().get(&name).cloned()
+        self.servers.read().get(&name).cloned()
     }
 
     /// Returns the instance that reports itself to this daemon, if it belongs to a service.
-    pub fn instance_of(&self, service: &str) -> Option<Arc<Door>> {
+    pub fn instance_of(&self, service: &str) -> Option<Arc<LocalServer>> {
         let instance = self.instance.read();
-        let current = instance.as_ref().filter(|c| *c.door.id.service == *service);
-        current.map(|current| current.door.clone())
+        let current = instance.as_ref().filter(|c| *c.server.id.service == *service);
+        current.map(|current| current.server.clone())
     }
 
     /// Returns the backend servers that the configuration lists; these are health-checked.
-    pub fn listed(&self) -> Vec<Arc<Door>> {
-        self.doors.read().values().cloned().collect()
+    pub fn listed(&self) -> Vec<Arc<LocalServer>> {
+        self.servers.read().values().cloned().collect()
     }
 
     /// Returns the instance that reports itself to this daemon.
-    pub fn instance(&self) -> Option<Arc<Door>> {
-        self.instance.read().as_ref().map(|current| current.door.clone())
+    pub fn instance(&self) -> Option<Arc<LocalServer>> {
+        self.instance.read().as_ref().map(|current| current.server.clone())
     }
 
     /// Handles the latest report of the instance; `is_new` states whether it received no request
@@ -135,37 +135,38 @@
         let Some(report) = instance else { return };
         let mut slot = self.instance.write();
         let known = slot.as_ref().filter(|current| current.matches(report));
-        let door = match known {
-            Some(current) => current.door.clone(),
+        let server = match known {
+            Some(current) => current.server.clone(),
             None => {
-                let previous = slot.as_ref().map(|current| &*current.door);
+                let previous = slot.as_ref().map(|current| &*current.server);
                 self.create_for_instance(report, is_new, previous)
             }
         };
         let previous =
-            slot.replace(CurrentInstance { door: door.clone(), born_ms: report.born_ms });
+            slot.replace(CurrentInstance { server: server.clone(), born_ms: report.born_ms });
         drop(slot);
-        if let Some(previous) = previous.filter(|p| p.door.id == door.id && !p.matches(report)) {
-            previous.door.on_check(Check::Reported(ServerState::Down));
+        if let Some(previous) = previous.filter(|p| p.server.id == server.id && !p.matches(report))
+        {
+            previous.server.on_check(Check::Reported(ServerState::Down));
         }
-        door.on_check(Check::Reported(report.state));
+        server.on_check(Check::Reported(report.state));
     }
 
     fn create_for_instance(
         &self,
         report: &Instance,
         is_new: bool,
-        previous: Option<&Door>,
-    ) -> Arc<Door> {
+        previous: Option<&LocalServer>,
+    ) -> Arc<LocalServer> {
         let name = ServerName::new(&report.service, &report.id);
         let opts = self.options(&report.service, report.slots);
-        let door = Door::new(name, self.pool(&report.address), opts, 0, self.clock);
-        let door = door.with_version(&report.version);
-        self.init_concurrency_limit(&door, opts, previous);
+        let server = LocalServer::new(name, self.pool(&report.address), opts, 0, self.clock);
+        let server = server.with_version(&report.version);
+        self.init_concurrency_limit(&server, opts, previous);
         if is_new {
-            door.on_new_instance();
+            server.on_new_instance();
         }
-        Arc::new(door)
+        Arc::new(server)
     }
 
     /// Applies the accepted configuration. Requests in flight at a removed backend server finish.
@@ -174,34 +175,36 @@
         self.set_services(held);
         self.set_rollout(held);
         let shared = &held.shared;
-        let mut doors = self.doors.write();
-        let mut old = std::mem::take(&mut *doors);
+        let mut servers = self.servers.write();
+        let mut old = std::mem::take(&mut *servers);
         for (service, entry) in &shared.config.services {
             let here = entry.backend_servers.iter().filter(|(_, s)| *s.host == *self.host);
-            for (name, server) in here {
+            for (name, backend_server) in here {
                 let key = ServerName::new(service, name);
-                let door = match old.remove(&key).filter(|d| d.backend.address() == server.address)
+                let server = match old
+                    .remove(&key)
+                    .filter(|d| d.backend.address() == backend_server.address)
                 {
-                    Some(door) => {
-                        door.set_options(
-                            self.options(service, server.slots),
+                    Some(server) => {
+                        server.set_options(
+                            self.options(service, backend_server.slots),
                             entry.measuring_per_second,
                         );
-                        door
+                        server
                     }
-                    None => Arc::new(self.create(&key, server, entry.measuring_per_second)),
+                    None => Arc::new(self.create(&key, backend_server, entry.measuring_per_second)),
                 };
-                doors.insert(key, door);
+                servers.insert(key, server);
             }
         }
     }
 
     /// Sets the roll-out in progress of the service of the instance.
     fn set_rollout(&self, held: &Held) {
-        let Some(door) = self.instance() else { return };
-        let rollout = held.shared.config.rollouts.get(&*door.id.service);
+        let Some(server) = self.instance() else { return };
+        let rollout = held.shared.config.rollouts.get(&*server.id.service);
         let in_progress = rollout.filter(|rollout| rollout::is_in_progress(rollout));
-        door.set_rollout(in_progress.map(|rollout| rollout.started_at_ms));
+        server.set_rollout(in_progress.map(|rollout| rollout.started_at_ms));
     }
 
     /// Applies the rate limits of cold backend servers.
@@ -213,15 +216,15 @@
             Some((name.clone(), limits))
         });
         *self.cold_limits.write() = Some(limits.collect());
-        if let Some(door) = self.instance() {
-            door.set_cold(self.cold_limits(&door.id.service));
+        if let Some(server) = self.instance() {
+            server.set_cold(self.cold_limits(&server.id.service));
         }
     }
 
     /// Discards the reported warmth of the instance.
     pub fn doubt_warmth(&self) {
-        if let Some(door) = self.instance() {
-            door.invalidate_warmth();
+        if let Some(server) = self.instance() {
+            server.invalidate_warmth();
         }
     }
 
@@ -257,21 +260,26 @@
         self.cold_limits.read().is_some()
     }
 
-    fn create(&self, name: &ServerName, server: &BackendServer, probes_per_second: u32) -> Door {
-        let backend = self.pool(&server.address);
-        let opts = self.options(&name.service, server.slots);
-        let door = Door::new(name.clone(), backend, opts, probes_per_second, self.clock);
-        self.init_concurrency_limit(&door, opts, None);
-        door
+    fn create(
+        &self,
+        name: &ServerName,
+        backend_server: &BackendServer,
+        probes_per_second: u32,
+    ) -> LocalServer {
+        let backend = self.pool(&backend_server.address);
+        let opts = self.options(&name.service, backend_server.slots);
+        let server = LocalServer::new(name.clone(), backend, opts, probes_per_second, self.clock);
+        self.init_concurrency_limit(&server, opts, None);
+        server
     }
 
     /// Gives a new backend server an adaptive concurrency limit, if the settings ask for one. It
     /// starts from the limit of the previous instance of the same service.
     fn init_concurrency_limit(
         &self,
-        door: &Door,
+        server: &LocalServer,
         opts: admission::Options,
-        previous: Option<&Door>,
+        previous: Option<&LocalServer>,
     ) {
         let is_adaptive = match self.opts.room {
             RoomKind::Fixed => false,
@@ -283,32 +291,32 @@
         if !is_adaptive {
             return;
         }
-        let previous = previous.filter(|old| old.id.service == door.id.service);
+        let previous = previous.filter(|old| old.id.service == server.id.service);
         let limit = previous
-            .and_then(Door::concurrency_limit)
+            .and_then(LocalServer::concurrency_limit)
             .unwrap_or_else(|| ConcurrencyLimit::new(opts.slots, opts.share));
-        door.set_concurrency_limit(limit.with_slots(opts.slots, opts.share));
+        server.set_concurrency_limit(limit.with_slots(opts.slots, opts.share));
     }
 
     /// Counts and logs the changes of the adaptive concurrency limits.
     pub fn record_limit_changes(&self) {
-        for door in self.listed().into_iter().chain(self.instance()) {
-            for change in door.take_limit_changes() {
-                self.record_limit_change(&door, change);
+        for server in self.listed().into_iter().chain(self.instance()) {
+            for change in server.take_limit_changes() {
+                self.record_limit_change(&server, change);
             }
         }
     }
 
-    fn record_limit_change(&self, door: &Door, change: Change) {
+    fn record_limit_change(&self, server: &LocalServer, change: Change) {
         let cause = change.cause.as_str();
-        let server = door.id.name.to_string();
+        let name = server.id.name.to_string();
         log::info!(
-            "room of {server}: concurrency limit {}, previously {}: {cause}",
+            "room of {name}: concurrency limit {}, previously {}: {cause}",
             change.to,
             change.from
         );
         self.metrics.room_changes.get_or_create(&ReasonLabel { reason: cause }).inc();
-        self.metrics.room.get_or_create(&ServerLabel { server }).set(i64::from(change.to));
+        self.metrics.room.get_or_create(&ServerLabel { server: name }).set(i64::from(change.to));
     }
 
     fn pool(&self, address: &str) -> Pool {
--- a/crates/cherrystream-daemon/src/measure.rs
+++ b/crates/cherrystream-daemon/src/measure.rs
@@ -1,7 +1,7 @@
 //! Health checks and probes of the backend servers of this host, within the configured rate.
 
-use crate::door::Door;
 use crate::inbound::Inbound;
+use crate::local_server::LocalServer;
 use crate::metrics::{Metrics, ServerLabel};
 use cherrystream_core::health::Check;
 use cherrystream_net::body::{self, Body, Start};
@@ -40,7 +40,7 @@
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut due = HashMap::new();
     loop {
-        let is_cold = inbound.doors.instance().is_some_and(|door| door.is_cold());
+        let is_cold = inbound.local_servers.instance().is_some_and(|server| server.is_cold());
         if is_cold {
             tokio::time::sleep(COLD_TICK).await;
         } else {
@@ -48,21 +48,21 @@
         }
         let now = m.clock.now();
         inbound.expire_reservations();
-        inbound.doors.record_limit_changes();
-        if let Some(door) = inbound.doors.instance() {
-            door.tick();
+        inbound.local_servers.record_limit_changes();
+        if let Some(server) = inbound.local_servers.instance() {
+            server.tick();
             // An instance of a leaving host receives no requests, so it needs no probes.
             let is_in_service = inbound.check_leaving().is_none();
-            if is_in_service && (door.needs_slowness_probe() || door.start_warmth_probe()) {
-                tokio::spawn(probe_health(door, inbound.clone()));
+            if is_in_service && (server.needs_slowness_probe() || server.start_warmth_probe()) {
+                tokio::spawn(probe_health(server, inbound.clone()));
             }
         }
-        for door in inbound.doors.listed() {
-            door.tick();
-            let due_at = due.entry(door.id.clone()).or_insert(now);
+        for server in inbound.local_servers.listed() {
+            server.tick();
+            let due_at = due.entry(server.id.clone()).or_insert(now);
             if *due_at <= now {
-                *due_at = now + door.probe_budget.lock().interval().max(MIN_INTERVAL);
-                tokio::spawn(check(door, m.clone()));
+                *due_at = now + server.probe_budget.lock().interval().max(MIN_INTERVAL);
+                tokio::spawn(check(server, m.clone()));
             }
         }
     }
@@ -77,33 +77,33 @@
     pub metrics: Metrics,
 }
 
-async fn check(door: Arc<Door>, m: Measuring) {
+async fn check(server: Arc<LocalServer>, m: Measuring) {
     // Spent here, where the request is sent, so that no check bypasses the budget.
-    if !door.probe_budget.lock().try_spend(m.clock.now()) {
+    if !server.probe_budget.lock().try_spend(m.clock.now()) {
         return;
     }
-    m.metrics.measuring.get_or_create(&ServerLabel { server: door.id.name.to_string() }).inc();
-    let result = tokio::time::timeout(CHECK_TIMEOUT, check_state(&door.backend)).await;
+    m.metrics.measuring.get_or_create(&ServerLabel { server: server.id.name.to_string() }).inc();
+    let result = tokio::time::timeout(CHECK_TIMEOUT, check_state(&server.backend)).await;
     let check = match result {
         Ok(Ok(state)) => Check::Reported(state),
         _ => Check::Failed,
     };
-    door.on_check(check);
+    server.on_check(check);
 }
 
 /// Probes the slowness and the warmth of an instance; waits no longer than for a health check.
-pub async fn probe_health(door: Arc<Door>, inbound: Arc<Inbound>) {
-    let Some(path) = inbound.health_path(&door.id.service) else { return };
-    let label = ServerLabel { server: door.id.name.to_string() };
+pub async fn probe_health(server: Arc<LocalServer>, inbound: Arc<Inbound>) {
+    let Some(path) = inbound.health_path(&server.id.service) else { return };
+    let label = ServerLabel { server: server.id.name.to_string() };
     inbound.metrics.measuring.get_or_create(&label).inc();
-    door.on_probe_sent();
-    let response = tokio::time::timeout(CHECK_TIMEOUT, request(&door.backend, &path));
+    server.on_probe_sent();
+    let response = tokio::time::timeout(CHECK_TIMEOUT, request(&server.backend, &path));
     if let Ok(Ok(res)) = response.await {
         let (parts, body) = res.into_parts();
         if let Some(load) = inbound.interface.read_load(&parts) {
-            door.on_load(&load);
+            server.on_load(&load);
         }
-        door.on_health_response(&inbound.interface.read_health(&parts));
+        server.on_health_response(&inbound.interface.read_health(&parts));
         // The connection is reused only if the body was read.
         let _ = body::read_start(body, MAX_RESPONSE_BYTES).await;
     }
--- a/crates/cherrystream-daemon/src/role.rs
+++ b/crates/cherrystream-daemon/src/role.rs
@@ -1,11 +1,11 @@
 //! Puts the parts of the daemon role together.
 
-use crate::doors::{DoorOptions, Doors};
 use crate::errors::Result;
 use crate::held::HeldCell;
 use crate::inbound::Inbound;
 use crate::instances::Instances;
 use crate::ledger::Ledger;
+use crate::local_servers::{LocalServerOptions, LocalServers};
 use crate::measure::{self, Measuring};
 use crate::metrics::Metrics;
 use crate::outbound::{Outbound, RetryOptions};
@@ -88,10 +88,10 @@
         let peers = Arc::new(Peers::new(cx.metrics.clone()));
         let newer = Arc::new(Newer::default());
         let routes_only = all.interface == Some(InterfaceKind::Platform);
-        let doors = Arc::new(doors(&record, settings, &cx, clock));
+        let local_servers = Arc::new(local_servers(&record, settings, &cx, clock));
         let suspects = Arc::new(SuspectWatch::new(suspects::Tools {
             host: record.host.as_str().into(),
-            doors: doors.clone(),
+            doors: local_servers.clone(),
             held: held.clone(),
             peers: peers.clone(),
             key: cx.key.clone(),
@@ -102,7 +102,7 @@
         tokio::spawn(suspects.clone().run());
         let inbound = Arc::new(Inbound {
             incarnation: record.incarnation,
-            doors: doors.clone(),
+            local_servers: local_servers.clone(),
             interface: cx.interface.clone(),
             suspects: suspects.clone(),
             attempts: Mutex::new(Attempts::new(attempts::Options {
@@ -117,7 +117,7 @@
             clock,
             metrics: cx.metrics.clone(),
         });
-        let instances = Arc::new(Instances::new(doors, cx.interface.clone()));
+        let instances = Arc::new(Instances::new(local_servers, cx.interface.clone()));
         let quotas = Arc::new(Quotas::new(
             &record,
             quotas::tolerance(settings),
@@ -308,8 +308,13 @@
     }
 }
 
-fn doors(record: &HostRecord, settings: &DaemonSettings, cx: &Context, clock: Clock) -> Doors {
-    let opts = DoorOptions {
+fn local_servers(
+    record: &HostRecord,
+    settings: &DaemonSettings,
+    cx: &Context,
+    clock: Clock,
+) -> LocalServers {
+    let opts = LocalServerOptions {
         queue_per_slot: settings.queue_per_slot,
         slot_share: settings.slot_share,
         room: settings.room.unwrap_or(RoomKind::Fixed),
@@ -317,7 +322,7 @@
         cold_slack: settings.cold_slack,
     };
     let host = record.host.as_str().into();
-    Doors::new(host, opts, clock, cx.interface.id_header(), cx.metrics.clone())
+    LocalServers::new(host, opts, clock, cx.interface.id_header(), cx.metrics.clone())
 }
 
 /// Puts each revision in force that is taken.
@@ -333,9 +338,9 @@
         let is_evacuated = shared::is_evacuated(&now.shared, &inbound.host);
         if std::mem::replace(&mut was_evacuated, is_evacuated) && !is_evacuated {
             // Its backend servers may have become cold while they got no work.
-            inbound.doors.doubt_warmth();
+            inbound.local_servers.doubt_warmth();
         }
-        inbound.doors.set(&now);
+        inbound.local_servers.set(&now);
         outbound.set(&now);
     }
 }
--- a/crates/cherrystream-daemon/src/suspects/at_work.rs
+++ b/crates/cherrystream-daemon/src/suspects/at_work.rs
@@ -1,7 +1,7 @@
 //! Requests at work at a backend server, and the search for the proof that it has ended.
 
 use super::SuspectWatch;
-use crate::door::Door;
+use crate::local_server::LocalServer;
 use cherrystream_core::suspects::crashes::Ticket;
 use cherrystream_core::suspects::{CrashId, Identity, SentRequest};
 use cherrystream_core::units::Timestamp;
@@ -18,12 +18,12 @@
 
 /// The place of the one request that may run alone at a door; dropping it frees it.
 pub struct AlonePlace {
-    door: Arc<Door>,
+    door: Arc<LocalServer>,
 }
 
 impl AlonePlace {
     /// Takes the place, if it is free.
-    pub fn take(door: &Arc<Door>) -> Option<AlonePlace> {
+    pub fn take(door: &Arc<LocalServer>) -> Option<AlonePlace> {
         let is_free = door.ends().begin_isolated();
         is_free.then(|| AlonePlace { door: door.clone() })
     }
@@ -38,7 +38,7 @@
 /// A request at work, from its first byte. Dropped without a word, it counts as one whose caller has left.
 pub struct AtWork {
     watch: Arc<SuspectWatch>,
-    door: Arc<Door>,
+    door: Arc<LocalServer>,
     sent: SentRequest,
     sent_at: Timestamp,
     ticket: Ticket,
@@ -50,7 +50,7 @@
     /// Notes that a request leaves for the backend server.
     pub fn begin(
         watch: &Arc<SuspectWatch>,
-        door: &Arc<Door>,
+        door: &Arc<LocalServer>,
         identity: Identity,
         place: Option<AlonePlace>,
     ) -> AtWork {
@@ -115,7 +115,7 @@
 
 impl SuspectWatch {
     /// Looks for the proof that a door's backend server has ended, if connections have broken there and nobody looks yet.
-    pub fn look(self: &Arc<Self>, door: &Arc<Door>) {
+    pub fn look(self: &Arc<Self>, door: &Arc<LocalServer>) {
         if door.ends().begin_probe(self.tools.clock.now()) {
             let (watch, door) = (self.clone(), door.clone());
             tokio::spawn(async move {
@@ -127,7 +127,7 @@
         }
     }
 
-    async fn finds_proof(&self, door: &Arc<Door>) -> bool {
+    async fn finds_proof(&self, door: &Arc<LocalServer>) -> bool {
         let mut is_kept = false;
         for wait in LOOKS {
             tokio::time::sleep(wait).await;
@@ -154,13 +154,13 @@
     }
 
     /// Returns whether another run has taken the place of a backend server that reported itself.
-    fn is_followed(&self, door: &Arc<Door>) -> bool {
+    fn is_followed(&self, door: &Arc<LocalServer>) -> bool {
         let listed = self.tools.doors.listed().iter().any(|known| Arc::ptr_eq(known, door));
         let instance = self.tools.doors.instance();
         !listed && instance.is_some_and(|now| !Arc::ptr_eq(&now, door))
     }
 
-    fn on_proof(self: &Arc<Self>, door: &Arc<Door>) {
+    fn on_proof(self: &Arc<Self>, door: &Arc<LocalServer>) {
         let now = self.tools.clock.now();
         if self.is_planned(door) {
             door.ends().on_planned_stop();
--- a/crates/cherrystream-daemon/src/suspects/mod.rs
+++ b/crates/cherrystream-daemon/src/suspects/mod.rs
@@ -9,9 +9,9 @@
 pub use at_work::{AlonePlace, AtWork};
 pub use telling::read_bytes;
 
-use crate::door::Door;
-use crate::doors::Doors;
 use crate::held::HeldCell;
+use crate::local_server::LocalServer;
+use crate::local_servers::LocalServers;
 use crate::metrics::{Metrics, SuspectLabel};
 use crate::peer::Peers;
 use cherrystream_core::log_budget::LogBudget;
@@ -37,8 +37,8 @@
 pub struct Tools {
     /// This host.
     pub host: Arc<str>,
-    /// Doors of this host.
-    pub doors: Arc<Doors>,
+    /// LocalServers of this host.
+    pub doors: Arc<LocalServers>,
     /// Shared state held.
     pub held: Arc<HeldCell>,
     /// Connections to other daemons.
@@ -81,7 +81,7 @@
     }
 
     /// Takes a whole answer of a request that was at work at a door.
-    fn on_answer(self: &Arc<Self>, door: &Door, request: Fingerprint) {
+    fn on_answer(self: &Arc<Self>, door: &LocalServer, request: Fingerprint) {
         let now = self.tools.clock.now();
         let mut table = self.table.lock();
         let was = table.treatment(now, request);
@@ -96,7 +96,7 @@
     }
 
     /// Takes a proved end of a door's backend server.
-    fn on_end(self: &Arc<Self>, door: &Door, ended: &Crash) {
+    fn on_end(self: &Arc<Self>, door: &LocalServer, ended: &Crash) {
         self.tools.metrics.ends_at_work.inc();
         let now = self.tools.clock.now();
         let news = self.table.lock().on_crash(now, ended);
@@ -106,7 +106,7 @@
         self.clone().tell(Some(door.id.service.clone()), news);
     }
 
-    fn log_end(&self, now: Timestamp, door: &Door, ended: &Crash, record: &Record) {
+    fn log_end(&self, now: Timestamp, door: &LocalServer, ended: &Crash, record: &Record) {
         let Some(dropped) = self.log.lock().take(now, true) else { return };
         let Record { request, caller, ends, .. } = record;
         let standing = self.standing(now, *request);
@@ -133,7 +133,7 @@
     }
 
     /// Returns whether the end of a door's backend server is planned: its own word, or that of its host.
-    fn is_planned(&self, door: &Door) -> bool {
+    fn is_planned(&self, door: &LocalServer) -> bool {
         door.is_draining() || self.tools.phases.now() >= Phase::Draining
     }
 
--- a/crates/cherrystream-daemon/tests/reports.rs
+++ b/crates/cherrystream-daemon/tests/reports.rs
@@ -3,9 +3,9 @@
 use cherrystream_core::instances::InstanceReport;
 use cherrystream_core::shared;
 use cherrystream_core::units::Revision;
-use cherrystream_daemon::doors::{DoorOptions, Doors};
 use cherrystream_daemon::held::Held;
 use cherrystream_daemon::instances::Instances;
+use cherrystream_daemon::local_servers::{LocalServerOptions, LocalServers};
 use cherrystream_daemon::metrics::{Metrics, ReasonLabel};
 use cherrystream_daemon::own_interface::OwnInterface;
 use cherrystream_net::clock::Clock;
@@ -32,23 +32,23 @@
 }
 
 fn instances() -> Arc<Instances> {
-    instances_at(&doors(Metrics::default()))
+    instances_at(&local_servers(Metrics::default()))
 }
 
-fn instances_at(doors: &Arc<Doors>) -> Arc<Instances> {
-    Arc::new(Instances::new(doors.clone(), Arc::new(OwnInterface)))
+fn instances_at(local_servers: &Arc<LocalServers>) -> Arc<Instances> {
+    Arc::new(Instances::new(local_servers.clone(), Arc::new(OwnInterface)))
 }
 
-fn doors(metrics: Metrics) -> Arc<Doors> {
+fn local_servers(metrics: Metrics) -> Arc<LocalServers> {
     let header = OwnInterface.id_header();
-    let opts = DoorOptions {
+    let opts = LocalServerOptions {
         queue_per_slot: 1.0,
         slot_share: 0.8,
         room: RoomKind::Fixed,
         cold_over: 1.0,
         cold_slack: 1.0,
     };
-    Arc::new(Doors::new("own".into(), opts, Clock::default(), header, metrics))
+    Arc::new(LocalServers::new("own".into(), opts, Clock::default(), header, metrics))
 }
 
 /// A refused report is repeated only after the pause of the backend server, which serves no request
@@ -85,7 +85,7 @@
 #[tokio::test]
 async fn a_report_for_a_service_that_is_not_configured_replaces_no_instance() {
     let metrics = Metrics::default();
-    let doors = doors(metrics.clone());
+    let local_servers = local_servers(metrics.clone());
     let routed =
         RoutedService { health_path: "/".into(), connections_at_most: 1, cold_milli_per_s: None };
     let limits =
@@ -100,8 +100,8 @@
     };
     let revision = Revision { term: 1, index: 1 };
     let held = Held { revision, shared: Arc::new(shared::empty()), routes: Some(table.into()) };
-    doors.set(&held);
-    let instances = instances_at(&doors);
+    local_servers.set(&held);
+    let instances = instances_at(&local_servers);
     let record = InstanceRecord {
         instance: instance(),
         retired: Vec::new(),
--- a/crates/cherrystream-daemon/tests/rooms.rs
+++ b/crates/cherrystream-daemon/tests/rooms.rs
@@ -3,7 +3,7 @@
 use cherrystream_core::concurrency_limit::{Answer, ConcurrencyLimit, Work};
 use cherrystream_core::settings;
 use cherrystream_core::units::Timestamp;
-use cherrystream_daemon::doors::{DoorOptions, Doors};
+use cherrystream_daemon::local_servers::{LocalServerOptions, LocalServers};
 use cherrystream_daemon::metrics::Metrics;
 use cherrystream_daemon::own_interface::OwnInterface;
 use cherrystream_net::clock::Clock;
@@ -13,11 +13,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn doors(room: RoomKind) -> Doors {
-    let opts =
-        DoorOptions { queue_per_slot: 1.0, slot_share: 0.8, room, cold_over: 1.0, cold_slack: 1.0 };
+fn local_servers(room: RoomKind) -> LocalServers {
+    let opts = LocalServerOptions {
+        queue_per_slot: 1.0,
+        slot_share: 0.8,
+        room,
+        cold_over: 1.0,
+        cold_slack: 1.0,
+    };
     let header = OwnInterface.id_header();
-    Doors::new("own".into(), opts, Clock::default(), header, Metrics::default())
+    LocalServers::new("own".into(), opts, Clock::default(), header, Metrics::default())
 }
 
 fn instance(id: &str, service: &str, slots: u32) -> Instance {
@@ -47,45 +52,49 @@
     limit
 }
 
-fn limit(doors: &Doors) -> Option<u32> {
-    Some(doors.instance()?.concurrency_limit()?.limit())
+fn limit(local_servers: &LocalServers) -> Option<u32> {
+    Some(local_servers.instance()?.concurrency_limit()?.limit())
 }
 
 #[test]
 fn a_new_instance_starts_with_the_concurrency_limit_of_its_predecessor() {
-    let doors = doors(RoomKind::Learned);
-    doors.set_instance(Some(&instance("i", "orders", 10)), false);
-    assert_eq!(limit(&doors), Some(8));
-    doors.instance().unwrap().set_concurrency_limit(learned());
+    let local_servers = local_servers(RoomKind::Learned);
+    local_servers.set_instance(Some(&instance("i", "orders", 10)), false);
+    assert_eq!(limit(&local_servers), Some(8));
+    local_servers.instance().unwrap().set_concurrency_limit(learned());
     let known = learned().limit();
     assert!(known < 8, "{known}");
-    doors.set_instance(Some(&instance("i-2", "orders", 10)), false);
-    assert_eq!(limit(&doors), Some(known));
-    doors.set_instance(Some(&instance("i-33", "orders", 20)), false);
-    assert_eq!(limit(&doors), Some(16), "a different number of slots discards the learned limit");
-    doors.instance().unwrap().set_concurrency_limit(learned());
-    doors.set_instance(Some(&instance("i-444", "payouts", 10)), false);
-    assert_eq!(limit(&doors), Some(8), "so does another service");
+    local_servers.set_instance(Some(&instance("i-2", "orders", 10)), false);
+    assert_eq!(limit(&local_servers), Some(known));
+    local_servers.set_instance(Some(&instance("i-33", "orders", 20)), false);
+    assert_eq!(
+        limit(&local_servers),
+        Some(16),
+        "a different number of slots discards the learned limit"
+    );
+    local_servers.instance().unwrap().set_concurrency_limit(learned());
+    local_servers.set_instance(Some(&instance("i-444", "payouts", 10)), false);
+    assert_eq!(limit(&local_servers), Some(8), "so does another service");
 }
 
 #[test]
 fn a_fixed_share_has_no_adaptive_limit() {
-    let doors = doors(RoomKind::Fixed);
-    doors.set_instance(Some(&instance("i", "orders", 10)), false);
-    assert_eq!(limit(&doors), None);
-    assert_eq!(doors.instance().unwrap().report(1).slots, 8);
+    let local_servers = local_servers(RoomKind::Fixed);
+    local_servers.set_instance(Some(&instance("i", "orders", 10)), false);
+    assert_eq!(limit(&local_servers), None);
+    assert_eq!(local_servers.instance().unwrap().report(1).slots, 8);
 }
 
 /// Guards against an adaptive limit where the fixed share loses little by rounding.
 #[test]
 fn the_limit_is_adaptive_only_if_rounding_loses_much_of_the_share() {
-    let doors = doors(RoomKind::LearnedIfRounded);
-    doors.set_instance(Some(&instance("i", "orders", 10)), false);
-    assert_eq!(limit(&doors), None);
-    doors.set_instance(Some(&instance("i-2", "orders", 6)), false);
-    assert_eq!(limit(&doors), Some(4));
-    doors.set_instance(Some(&instance("i-33", "orders", 12)), false);
-    assert_eq!(limit(&doors), None);
+    let local_servers = local_servers(RoomKind::LearnedIfRounded);
+    local_servers.set_instance(Some(&instance("i", "orders", 10)), false);
+    assert_eq!(limit(&local_servers), None);
+    local_servers.set_instance(Some(&instance("i-2", "orders", 6)), false);
+    assert_eq!(limit(&local_servers), Some(4));
+    local_servers.set_instance(Some(&instance("i-33", "orders", 12)), false);
+    assert_eq!(limit(&local_servers), None);
 }
 
 #[test]
--- a/crates/cherrystream-daemon/tests/successors.rs
+++ b/crates/cherrystream-daemon/tests/successors.rs
@@ -30,7 +30,7 @@
         full: Some(shared::empty()),
     };
     assert!(daemon.held().take(update));
-    daemon.inbound().doors.set(&daemon.held().get());
+    daemon.inbound().local_servers.set(&daemon.held().get());
     daemon
 }
 
@@ -47,7 +47,7 @@
         ready: Arc::new(AtomicBool::new(false)),
     };
     let daemon = Daemon::start(&all, all.daemon.as_ref().unwrap(), cx).await.unwrap();
-    daemon.inbound().doors.set_instance(Some(&instance(ServerState::Live)), true);
+    daemon.inbound().local_servers.set_instance(Some(&instance(ServerState::Live)), true);
     daemon
 }
 
@@ -104,7 +104,7 @@
 #[tokio::test]
 async fn a_draining_instance_does_not_serve_a_call_for_a_previous_one() {
     let daemon = daemon().await;
-    daemon.inbound().doors.set_instance(Some(&instance(ServerState::Draining)), true);
+    daemon.inbound().local_servers.set_instance(Some(&instance(ServerState::Draining)), true);
     let refused = daemon.inbound().reserve(call("orders")).await.result.err().unwrap();
     assert_eq!(refused.reason, Reason::Draining);
 }
@@ -135,10 +135,10 @@
 #[tokio::test]
 async fn a_restart_under_the_same_identifier_starts_with_new_admission() {
     let daemon = daemon().await;
-    let doors = &daemon.inbound().doors;
+    let local_servers = &daemon.inbound().local_servers;
     let mut instance = Instance { slots: 1, id: "i-3".into(), ..instance(ServerState::Live) };
-    doors.set_instance(Some(&instance), true);
-    let previous = doors.instance().unwrap();
+    local_servers.set_instance(Some(&instance), true);
+    let previous = local_servers.instance().unwrap();
     assert!(daemon.inbound().reserve(call("orders")).await.result.is_ok());
     let inbound = daemon.inbound().clone();
     let queued = tokio::spawn(async move { inbound.reserve(call("orders")).await.result.err() });
@@ -146,16 +146,16 @@
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     instance = Instance { born_ms: 7, ..instance };
-    doors.set_instance(Some(&instance), true);
-    let current = doors.instance().unwrap();
+    local_servers.set_instance(Some(&instance), true);
+    let current = local_servers.instance().unwrap();
     assert!(!Arc::ptr_eq(&current, &previous));
     assert_eq!((current.report(1).in_flight, previous.report(1).in_flight), (0, 1));
     let refused = queued.await.unwrap().unwrap();
     assert_eq!(refused.reason, Reason::BackendServerDown, "a queued request may be sent elsewhere");
     assert!(daemon.inbound().reserve(call("orders")).await.result.is_ok());
-    doors.set_instance(Some(&Instance { sequence: 2, ..instance }), true);
+    local_servers.set_instance(Some(&Instance { sequence: 2, ..instance }), true);
     assert!(
-        Arc::ptr_eq(&current, &doors.instance().unwrap()),
+        Arc::ptr_eq(&current, &local_servers.instance().unwrap()),
         "a further report of the same instance replaces nothing"
     );
 }
