--- a/crates/cherrystream-daemon/src/local_server.rs
+++ b/crates/cherrystream-daemon/src/local_server.rs
@@ -59,7 +59,7 @@
     pub probe_budget: Mutex<ProbeBudget>,
     clock: Clock,
     /// Detects crashes and the requests in flight at them. Never locked together with another lock.
-    ends: Mutex<CrashDetector>,
+    crash_detector: Mutex<CrashDetector>,
     inner: Mutex<Inner>,
 }
 
@@ -94,8 +94,8 @@
             rollout: RolloutRecord::default(),
         };
         let probe_budget = Mutex::new(ProbeBudget::new(probes_per_second));
-        let (ends, inner) = (Mutex::default(), Mutex::new(inner));
-        LocalServer { id, version: "".into(), backend, probe_budget, clock, ends, inner }
+        let (crash_detector, inner) = (Mutex::default(), Mutex::new(inner));
+        LocalServer { id, version: "".into(), backend, probe_budget, clock, crash_detector, inner }
     }
 
     /// Sets the version.
@@ -134,8 +134,8 @@
     }
 
     /// Locks the crash detector. The guard is dropped before any other lock is taken.
-    pub fn ends(&self) -> MutexGuard<'_, CrashDetector> {
-        self.ends.lock()
+    pub fn crash_detector(&self) -> MutexGuard<'_, CrashDetector> {
+        self.crash_detector.lock()
     }
 
     /// Returns whether the backend server reported that it drains.
--- a/crates/cherrystream-daemon/src/suspects/at_work.rs
+++ b/crates/cherrystream-daemon/src/suspects/at_work.rs
@@ -24,14 +24,14 @@
 impl AlonePlace {
     /// Takes the place, if it is free.
     pub fn take(door: &Arc<LocalServer>) -> Option<AlonePlace> {
-        let is_free = door.ends().begin_isolated();
+        let is_free = door.crash_detector().begin_isolated();
         is_free.then(|| AlonePlace { door: door.clone() })
     }
 }
 
 impl Drop for AlonePlace {
     fn drop(&mut self) {
-        self.door.ends().end_isolated();
+        self.door.crash_detector().end_isolated();
     }
 }
 
@@ -60,7 +60,7 @@
             door: door.clone(),
             sent: SentRequest { identity, isolated: place.is_some() },
             sent_at,
-            ticket: door.ends().begin(sent_at),
+            ticket: door.crash_detector().begin(sent_at),
             is_settled: false,
             _place: place,
         }
@@ -70,7 +70,7 @@
     /// when a call that it needs fails. When it did, 13 servers ended under one such request in place of 3.
     pub fn answered(mut self, failed: bool) {
         self.is_settled = true;
-        self.door.ends().on_answer(self.sent_at);
+        self.door.crash_detector().on_answer(self.sent_at);
         if !failed {
             self.watch.on_answer(&self.door, self.sent.identity.request);
         }
@@ -79,7 +79,7 @@
     /// Notes that the server did not run it; so it is there, or another run of it is.
     pub fn not_run(mut self) {
         self.is_settled = true;
-        self.door.ends().on_answer(self.sent_at);
+        self.door.crash_detector().on_answer(self.sent_at);
     }
 
     /// Notes that nothing of it was sent, or that what came was no answer to it.
@@ -91,8 +91,8 @@
     pub fn broke(mut self) {
         self.is_settled = true;
         let now = self.watch.tools.clock.now();
-        self.door.ends().finish(self.ticket);
-        let ended = self.door.ends().on_connection_broken(now, self.sent_at, self.sent);
+        self.door.crash_detector().finish(self.ticket);
+        let ended = self.door.crash_detector().on_connection_broken(now, self.sent_at, self.sent);
         match ended {
             Some(ended) if !self.watch.is_planned(&self.door) => {
                 self.watch.on_end(&self.door, &ended);
@@ -105,10 +105,10 @@
 
 impl Drop for AtWork {
     fn drop(&mut self) {
-        self.door.ends().finish(self.ticket);
+        self.door.crash_detector().finish(self.ticket);
         if !self.is_settled {
             let now = self.watch.tools.clock.now();
-            self.door.ends().on_caller_disconnected(now, self.sent_at, self.sent);
+            self.door.crash_detector().on_caller_disconnected(now, self.sent_at, self.sent);
         }
     }
 }
@@ -116,13 +116,13 @@
 impl SuspectWatch {
     /// Looks for the proof that a door's backend server has ended, if connections have broken there and nobody looks yet.
     pub fn look(self: &Arc<Self>, door: &Arc<LocalServer>) {
-        if door.ends().begin_probe(self.tools.clock.now()) {
+        if door.crash_detector().begin_probe(self.tools.clock.now()) {
             let (watch, door) = (self.clone(), door.clone());
             tokio::spawn(async move {
                 if watch.finds_proof(&door).await {
                     watch.on_proof(&door);
                 }
-                door.ends().end_probe();
+                door.crash_detector().end_probe();
             });
         }
     }
@@ -131,20 +131,20 @@
         let mut is_kept = false;
         for wait in LOOKS {
             tokio::time::sleep(wait).await;
-            if !door.ends().has_unexplained(self.tools.clock.now()) {
+            if !door.crash_detector().has_unexplained(self.tools.clock.now()) {
                 return false;
             }
             let fate = door.backend.probe().await;
             is_kept |= fate == Probe::Kept;
-            if fate == Probe::Refused && !door.ends().has_survivor() {
+            if fate == Probe::Refused && !door.crash_detector().has_survivor() {
                 return true;
             }
         }
         // Whoever passes connections on for the server takes them while it is down, and closes them.
-        if !is_kept && !door.ends().has_survivor() {
+        if !is_kept && !door.crash_detector().has_survivor() {
             return true;
         }
-        while door.ends().has_unexplained(self.tools.clock.now()) {
+        while door.crash_detector().has_unexplained(self.tools.clock.now()) {
             if self.is_followed(door) {
                 return true;
             }
@@ -163,10 +163,10 @@
     fn on_proof(self: &Arc<Self>, door: &Arc<LocalServer>) {
         let now = self.tools.clock.now();
         if self.is_planned(door) {
-            door.ends().on_planned_stop();
+            door.crash_detector().on_planned_stop();
             return;
         }
-        let ended = door.ends().on_crash(now, CrashId(rand::random()));
+        let ended = door.crash_detector().on_crash(now, CrashId(rand::random()));
         if let Some(ended) = ended {
             self.on_end(door, &ended);
         }
