--- a/crates/cherrystream-daemon/src/inbound/attempt.rs
+++ b/crates/cherrystream-daemon/src/inbound/attempt.rs
@@ -1,6 +1,6 @@
 //! An attempt of a request that may not be repeated, and the record of its outcome.
 
-use super::{CachedAnswer, HELD_BYTES, Inbound};
+use super::{CachedAnswer, Inbound, MAX_CACHED_BYTES};
 use crate::refusal::Refused;
 use cherrystream_core::attempts::RequestKey;
 use cherrystream_core::reasons::{Outcome, Reason};
@@ -30,7 +30,7 @@
         // The attempt is considered run unless the refusal states that it was not.
         self.sent = !matches!(&result, Err(r) if r.reason.outcome() == Outcome::NotRun);
         let (parts, body) = result?.into_parts();
-        match body::read_start(body, HELD_BYTES).await {
+        match body::read_start(body, MAX_CACHED_BYTES).await {
             Ok(Start::Whole(bytes)) => {
                 let answer = Arc::new(CachedAnswer { parts, bytes });
                 let res = answer.response();
--- a/crates/cherrystream-daemon/src/inbound/exchange.rs
+++ b/crates/cherrystream-daemon/src/inbound/exchange.rs
@@ -1,6 +1,6 @@
 //! Sends a request to the backend server and checks its answer.
 
-use super::{HELD_BYTES, Inbound, InboundCall};
+use super::{Inbound, InboundCall, MAX_CACHED_BYTES};
 use crate::headers;
 use crate::local_server::{LocalServer, Permit};
 use crate::metrics::ServerLabel;
@@ -128,7 +128,7 @@
             }
             Ending::Broken => at_work.broke(),
         });
-        let short = body.size_hint().upper().is_some_and(|bytes| bytes <= HELD_BYTES as u64);
+        let short = body.size_hint().upper().is_some_and(|bytes| bytes <= MAX_CACHED_BYTES as u64);
         let body = if short { body } else { stall::limit(body, self.stall_limit) };
         Ok(Response::from_parts(parts, body))
     }
--- a/crates/cherrystream-daemon/src/inbound/mod.rs
+++ b/crates/cherrystream-daemon/src/inbound/mod.rs
@@ -33,7 +33,7 @@
 use std::time::Duration;
 
 /// Largest answer that is buffered whole before its first byte is sent, and cached for resends.
-pub const HELD_BYTES: usize = 64 * 1024;
+pub const MAX_CACHED_BYTES: usize = 64 * 1024;
 
 /// A request for a backend server of this host.
 pub struct InboundCall {
@@ -52,7 +52,7 @@
     /// Deadline of the call.
     pub deadline: Deadline,
     /// Longest wait for a slot.
-    pub wait_at_most: Duration,
+    pub max_wait: Duration,
     /// Whether it is refused at once by a busy or slow backend server.
     pub selective: bool,
     /// Target latency of the route, if it has one.
@@ -308,7 +308,7 @@
         // The parent request fails without its nested call, so the call waits until its deadline.
         let deadline = match nested {
             true => call.deadline.at(),
-            false => request_times::wait_deadline(now, call.deadline.at(), call.wait_at_most),
+            false => request_times::wait_deadline(now, call.deadline.at(), call.max_wait),
         };
         let arrival = Arrival {
             nested,
--- a/crates/cherrystream-daemon/src/outbound/once.rs
+++ b/crates/cherrystream-daemon/src/outbound/once.rs
@@ -239,7 +239,8 @@
         let (mut parts, body) = res.into_parts();
         headers::remove_own(&mut parts.headers);
         parts.version = http::Version::HTTP_11;
-        let Ok(Start::Whole(bytes)) = body::read_start(body, crate::inbound::HELD_BYTES).await
+        let Ok(Start::Whole(bytes)) =
+            body::read_start(body, crate::inbound::MAX_CACHED_BYTES).await
         else {
             return Some(RemoteFate { state: AttemptState::Ran, answer: None });
         };
--- a/crates/cherrystream-daemon/src/outbound/send.rs
+++ b/crates/cherrystream-daemon/src/outbound/send.rs
@@ -5,7 +5,7 @@
 use crate::headers::{self, Op};
 use crate::held::Held;
 use crate::hop;
-use crate::inbound::{HELD_BYTES, InboundCall};
+use crate::inbound::{InboundCall, MAX_CACHED_BYTES};
 use crate::peer::{Line, NoAnswer};
 use crate::peer_server::ClaimHeader;
 use crate::refusal::Refused;
@@ -127,7 +127,7 @@
             workspace: call.workspace_name().cloned(),
             weight: call.treatment.weight,
             deadline: call.deadline,
-            wait_at_most: self.wait_left(call),
+            max_wait: self.wait_left(call),
             selective: call.is_selective(),
             good_for: self.good_for(call),
             reservation: admitted.reservation,
@@ -315,7 +315,7 @@
 /// Holds a short answer whole, so that a break in it can still be told from a whole one.
 async fn hold_if_short(res: Response<Body>) -> Tried {
     let (parts, body) = res.into_parts();
-    let body = match body::read_start(body, HELD_BYTES).await {
+    let body = match body::read_start(body, MAX_CACHED_BYTES).await {
         Ok(Start::Whole(bytes)) => body::full(bytes),
         Ok(Start::Longer(body)) => body,
         Err(_) => return Err(Refused::new(Reason::BackendServerBroke)),
--- a/crates/cherrystream-daemon/src/peer_server.rs
+++ b/crates/cherrystream-daemon/src/peer_server.rs
@@ -138,7 +138,7 @@
             workspace,
             weight: head.weight,
             deadline,
-            wait_at_most: head.wait(),
+            max_wait: head.wait(),
             selective: head.selective,
             good_for: head.good_us.map(Duration::from_micros),
             reservation: head.reservation,
--- a/crates/cherrystream-daemon/tests/successors.rs
+++ b/crates/cherrystream-daemon/tests/successors.rs
@@ -74,7 +74,7 @@
         caller: None,
         weight: 1,
         deadline: Deadline::new(Clock::default().now(), None, WAIT),
-        wait_at_most: WAIT,
+        max_wait: WAIT,
         selective: false,
         good_for: None,
         reservation: None,
