--- a/crates/cherrystream-daemon/src/instances.rs
+++ b/crates/cherrystream-daemon/src/instances.rs
@@ -71,7 +71,7 @@
 
     /// Returns the counts of answers of the instance, while a roll-out of its service is in
     /// progress.
-    pub fn tally(&self) -> Option<VersionTally> {
+    pub fn version_counts(&self) -> Option<VersionTally> {
         self.local_servers.instance().and_then(|server| server.version_counts())
     }
 
--- a/crates/cherrystream-daemon/src/sync/mod.rs
+++ b/crates/cherrystream-daemon/src/sync/mod.rs
@@ -146,7 +146,7 @@
 
     /// While a roll-out is under way, the counts go with the heartbeats: these are short then everywhere.
     fn wait(&self) -> Duration {
-        let short = !self.fixed || self.instances.tally().is_some();
+        let short = !self.fixed || self.instances.version_counts().is_some();
         if short { SHORT_WAIT } else { WAIT }
     }
 
@@ -248,7 +248,7 @@
             instance: self.instances.current(),
             fetching: self.downloads.status(),
             looks_in: false,
-            tally: self.instances.tally(),
+            tally: self.instances.version_counts(),
             control_known: if self.fixed { 0 } else { self.control.lock().checksum() },
         }
     }
