--- a/crates/cherrystream-daemon/src/metrics/quotas.rs
+++ b/crates/cherrystream-daemon/src/metrics/quotas.rs
@@ -112,7 +112,7 @@
     }
 
     /// Records the result of a batch to a quota allocator.
-    pub fn on_letter(&self, is_answered: bool) {
+    pub fn on_batch(&self, is_answered: bool) {
         let end = if is_answered { "answered" } else { "no-answer" };
         self.batches.get_or_create(&EndLabel { end }).inc();
     }
--- a/crates/cherrystream-daemon/src/quotas.rs
+++ b/crates/cherrystream-daemon/src/quotas.rs
@@ -201,7 +201,7 @@
     async fn exchange(self: Arc<Self>, sent: Timestamp, home: Arc<str>, batch: LeaseBatch) {
         let asked = tokio::time::timeout(ANSWER_WITHIN, self.ask(&home, &batch)).await;
         let reply = asked.ok().flatten();
-        self.tools.metrics.quotas.on_letter(reply.is_some());
+        self.tools.metrics.quotas.on_batch(reply.is_some());
         let now = self.tools.clock.now();
         if reply.is_none()
             && let Some(dropped) = self.log.lock().take(now, true)
