--- a/crates/cherrystream-daemon/src/local_servers.rs
+++ b/crates/cherrystream-daemon/src/local_servers.rs
@@ -222,7 +222,7 @@
     }
 
     /// Discards the reported warmth of the instance.
-    pub fn doubt_warmth(&self) {
+    pub fn invalidate_warmth(&self) {
         if let Some(server) = self.instance() {
             server.invalidate_warmth();
         }
--- a/crates/cherrystream-daemon/src/role.rs
+++ b/crates/cherrystream-daemon/src/role.rs
@@ -338,7 +338,7 @@
         let is_evacuated = shared::is_evacuated(&now.shared, &inbound.host);
         if std::mem::replace(&mut was_evacuated, is_evacuated) && !is_evacuated {
             // Its backend servers may have become cold while they got no work.
-            inbound.local_servers.doubt_warmth();
+            inbound.local_servers.invalidate_warmth();
         }
         inbound.local_servers.set(&now);
         outbound.set(&now);
