--- a/crates/cherrystream-daemon/src/local_servers.rs
+++ b/crates/cherrystream-daemon/src/local_servers.rs
@@ -33,7 +33,7 @@
     /// Share of the slots that is used, initially if the concurrency limit is adaptive.
     pub slot_share: f64,
     /// Whether the concurrency limit is that share, or adapts to service times.
-    pub room: RoomKind,
+    pub concurrency_limit: RoomKind,
     /// Factor on the stated rate limit of a cold backend server.
     pub cold_over: f64,
     /// Requests above that limit that are allowed within any second.
@@ -281,7 +281,7 @@
         opts: admission::Options,
         previous: Option<&LocalServer>,
     ) {
-        let is_adaptive = match self.opts.room {
+        let is_adaptive = match self.opts.concurrency_limit {
             RoomKind::Fixed => false,
             RoomKind::Learned => true,
             RoomKind::LearnedIfRounded => {
--- a/crates/cherrystream-daemon/src/role.rs
+++ b/crates/cherrystream-daemon/src/role.rs
@@ -317,7 +317,7 @@
     let opts = LocalServerOptions {
         queue_per_slot: settings.queue_per_slot,
         slot_share: settings.slot_share,
-        room: settings.room.unwrap_or(RoomKind::Fixed),
+        concurrency_limit: settings.room.unwrap_or(RoomKind::Fixed),
         cold_over: settings.cold_over,
         cold_slack: settings.cold_slack,
     };
--- a/crates/cherrystream-daemon/tests/reports.rs
+++ b/crates/cherrystream-daemon/tests/reports.rs
@@ -44,7 +44,7 @@
     let opts = LocalServerOptions {
         queue_per_slot: 1.0,
         slot_share: 0.8,
-        room: RoomKind::Fixed,
+        concurrency_limit: RoomKind::Fixed,
         cold_over: 1.0,
         cold_slack: 1.0,
     };
--- a/crates/cherrystream-daemon/tests/rooms.rs
+++ b/crates/cherrystream-daemon/tests/rooms.rs
@@ -13,11 +13,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn local_servers(room: RoomKind) -> LocalServers {
+fn local_servers(concurrency_limit: RoomKind) -> LocalServers {
     let opts = LocalServerOptions {
         queue_per_slot: 1.0,
         slot_share: 0.8,
-        room,
+        concurrency_limit,
         cold_over: 1.0,
         cold_slack: 1.0,
     };
