--- a/crates/cherrystream-daemon/src/measure.rs
+++ b/crates/cherrystream-daemon/src/health_checks.rs
@@ -35,7 +35,7 @@
 }
 
 /// Sends health checks and probes for as long as the process runs.
-pub async fn measure(inbound: Arc<Inbound>, m: Measuring) {
+pub async fn run(inbound: Arc<Inbound>, cx: HealthCheckContext) {
     let mut interval = tokio::time::interval(TICK);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut due = HashMap::new();
@@ -46,7 +46,7 @@
         } else {
             interval.tick().await;
         }
-        let now = m.clock.now();
+        let now = cx.clock.now();
         inbound.expire_reservations();
         inbound.local_servers.record_limit_changes();
         if let Some(server) = inbound.local_servers.instance() {
@@ -62,7 +62,7 @@
             let due_at = due.entry(server.id.clone()).or_insert(now);
             if *due_at <= now {
                 *due_at = now + server.probe_budget.lock().interval().max(MIN_INTERVAL);
-                tokio::spawn(check(server, m.clone()));
+                tokio::spawn(check(server, cx.clone()));
             }
         }
     }
@@ -70,19 +70,19 @@
 
 /// Context of the health checks.
 #[derive(Clone)]
-pub struct Measuring {
+pub struct HealthCheckContext {
     /// Clock of the process.
     pub clock: Clock,
     /// Metrics.
     pub metrics: Metrics,
 }
 
-async fn check(server: Arc<LocalServer>, m: Measuring) {
+async fn check(server: Arc<LocalServer>, cx: HealthCheckContext) {
     // Spent here, where the request is sent, so that no check bypasses the budget.
-    if !server.probe_budget.lock().try_spend(m.clock.now()) {
+    if !server.probe_budget.lock().try_spend(cx.clock.now()) {
         return;
     }
-    m.metrics.measuring.get_or_create(&ServerLabel { server: server.id.name.to_string() }).inc();
+    cx.metrics.measuring.get_or_create(&ServerLabel { server: server.id.name.to_string() }).inc();
     let result = tokio::time::timeout(CHECK_TIMEOUT, check_state(&server.backend)).await;
     let check = match result {
         Ok(Ok(state)) => Check::Reported(state),
--- a/crates/cherrystream-daemon/src/inbound/slowness_probe.rs
+++ b/crates/cherrystream-daemon/src/inbound/slowness_probe.rs
@@ -1,8 +1,8 @@
 //! Refreshes the reported slowness of a backend server before a request is admitted.
 
 use super::Inbound;
+use crate::health_checks;
 use crate::local_server::LocalServer;
-use crate::measure;
 use cherrystream_core::admission::Arrival;
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,7 +24,7 @@
             return;
         }
         // A late response is still read: it reports the slowness, and its connection is kept.
-        let probe = tokio::spawn(measure::probe_health(server.clone(), self.clone()));
+        let probe = tokio::spawn(health_checks::probe_health(server.clone(), self.clone()));
         if tokio::time::timeout(MAX_WAIT, probe).await.is_err() {
             // The request is decided on without it, and the next ones don't wait.
             server.on_slowness_timeout();
--- a/crates/cherrystream-daemon/src/lib.rs
+++ b/crates/cherrystream-daemon/src/lib.rs
@@ -11,6 +11,7 @@
 
 pub mod errors;
 pub mod headers;
+pub mod health_checks;
 pub mod held;
 pub mod hop;
 pub mod inbound;
@@ -18,7 +19,6 @@
 pub mod ledger;
 pub mod local_server;
 pub mod local_servers;
-pub mod measure;
 pub mod metrics;
 pub mod outbound;
 pub mod own_interface;
--- a/crates/cherrystream-daemon/src/role.rs
+++ b/crates/cherrystream-daemon/src/role.rs
@@ -1,12 +1,12 @@
 //! Puts the parts of the daemon role together.
 
 use crate::errors::Result;
+use crate::health_checks::{self, HealthCheckContext};
 use crate::held::HeldCell;
 use crate::inbound::Inbound;
 use crate::instances::Instances;
 use crate::ledger::Ledger;
 use crate::local_servers::{LocalServerOptions, LocalServers};
-use crate::measure::{self, Measuring};
 use crate::metrics::Metrics;
 use crate::outbound::{Outbound, RetryOptions};
 use crate::peer::Peers;
@@ -200,8 +200,8 @@
         tokio::spawn(downloads.run());
         tokio::spawn(sync.clone().run());
         tokio::spawn(sync.follow_peers(newer));
-        let measuring = Measuring { clock, metrics: cx.metrics.clone() };
-        tokio::spawn(measure::measure(inbound.clone(), measuring));
+        let health_checks = HealthCheckContext { clock, metrics: cx.metrics.clone() };
+        tokio::spawn(health_checks::run(inbound.clone(), health_checks));
         let readiness = Readiness {
             interface: cx.interface.clone(),
             ready: cx.ready,
