--- a/crates/cherrystream-daemon/src/ledger.rs
+++ b/crates/cherrystream-daemon/src/ledger.rs
@@ -23,18 +23,18 @@
 pub struct Unavailable;
 
 /// A client of the ledger.
-pub struct Ledger {
+pub struct LedgerClient {
     addresses: Vec<String>,
     key: Option<Secret>,
     clients: Mutex<HashMap<String, Arc<WsClient>>>,
     leader: parking_lot::Mutex<String>,
 }
 
-impl Ledger {
+impl LedgerClient {
     /// Creates a client of the replicas at these addresses.
-    pub fn new(addresses: &[String], key: Option<Secret>) -> Ledger {
+    pub fn new(addresses: &[String], key: Option<Secret>) -> LedgerClient {
         let leader = parking_lot::Mutex::new(addresses.first().cloned().unwrap_or_default());
-        Ledger { addresses: addresses.to_vec(), key, clients: Mutex::default(), leader }
+        LedgerClient { addresses: addresses.to_vec(), key, clients: Mutex::default(), leader }
     }
 
     /// Records a claim.
--- a/crates/cherrystream-daemon/src/outbound/mod.rs
+++ b/crates/cherrystream-daemon/src/outbound/mod.rs
@@ -16,7 +16,7 @@
 use crate::headers;
 use crate::held::{Held, HeldCell};
 use crate::inbound::Inbound;
-use crate::ledger::Ledger;
+use crate::ledger::LedgerClient;
 use crate::metrics::{self, CallLabels, Metrics};
 use crate::peer::Peers;
 use crate::quotas::Quotas;
@@ -99,7 +99,7 @@
     pub(crate) peers: Arc<Peers>,
     pub(crate) quotas: Arc<Quotas>,
     pub(crate) suspects: Arc<SuspectWatch>,
-    pub(crate) ledger: Arc<Ledger>,
+    pub(crate) ledger: Arc<LedgerClient>,
     pub(crate) newer: Arc<Newer>,
     pub(crate) retries: RetryOptions,
     pub(crate) crossing_cost: Duration,
--- a/crates/cherrystream-daemon/src/role.rs
+++ b/crates/cherrystream-daemon/src/role.rs
@@ -5,7 +5,7 @@
 use crate::held::HeldCell;
 use crate::inbound::Inbound;
 use crate::instances::Instances;
-use crate::ledger::Ledger;
+use crate::ledger::LedgerClient;
 use crate::local_servers::{LocalServerOptions, LocalServers};
 use crate::metrics::Metrics;
 use crate::outbound::{Outbound, RetryOptions};
@@ -140,7 +140,7 @@
             peers: peers.clone(),
             quotas: quotas.clone(),
             suspects: suspects.clone(),
-            ledger: Arc::new(Ledger::new(&control, cx.key.clone())),
+            ledger: Arc::new(LedgerClient::new(&control, cx.key.clone())),
             newer: newer.clone(),
             retries: RetryOptions {
                 share: settings.retry_share,
