--- a/crates/cherrystream-control/src/arrivals.rs
+++ b/crates/cherrystream-control/src/arrivals.rs
@@ -1,7 +1,7 @@
 //! Long messages of other replicas, which arrive in pieces.
 
 use crate::handle::Event;
-use cherrystream_core::transfer::{self, PieceFault, Receiving, Taken, Unreadable};
+use cherrystream_core::transfer::{self, DecodeError, PieceError, PieceOutcome, Receiving};
 use cherrystream_core::units::Timestamp;
 use cherrystream_net::rpc::MESSAGE_BYTES;
 use cherrystream_schema::messages::{Piece, RaftMessage};
@@ -18,13 +18,13 @@
     #[snafu(display("{source}"))]
     Piece {
         /// What is wrong.
-        source: PieceFault,
+        source: PieceError,
     },
     /// It is no message.
     #[snafu(display("{source}"))]
     Message {
         /// What is wrong.
-        source: Unreadable,
+        source: DecodeError,
     },
     /// It was not read to the end.
     #[snafu(display("reading it was broken off: {source}"))]
@@ -64,8 +64,8 @@
     pub async fn take(&self, now: Timestamp, piece: Piece) -> Result<u64, ArrivalFault> {
         let taken = self.receiving.lock().take(now, &piece).context(PieceSnafu)?;
         let content = match taken {
-            Taken::Held(held) => return Ok(held),
-            Taken::Whole(content) => content,
+            PieceOutcome::Held(held) => return Ok(held),
+            PieceOutcome::Whole(content) => content,
         };
         let total = piece.total;
         let arrivals = self.clone();
@@ -77,14 +77,14 @@
 
     /// Forgets messages that make no progress.
     pub fn tidy(&self, now: Timestamp) {
-        self.receiving.lock().tidy(now);
+        self.receiving.lock().discard_stalled(now);
     }
 
     fn hand_on(&self, content: &[u8], piece: &Piece) -> Result<(), ArrivalFault> {
         let read = read(content, piece);
         if let Err(e) = &read {
             log::warn!("control: a long message of replica {} is refused: {e}", piece.from);
-            self.receiving.lock().forget(piece.from);
+            self.receiving.lock().discard(piece.from);
         }
         let sent = self.events.send(Event::Messages(vec![read?]));
         sent.map_err(|_| ArrivalFault::Stopped)
--- a/crates/cherrystream-control/src/distribution.rs
+++ b/crates/cherrystream-control/src/distribution.rs
@@ -1,9 +1,11 @@
 //! What a daemon lacks of the shared state: short updates at once, long ones as an offer to fetch them.
 
 use crate::reach::Reach;
-use cherrystream_core::distribution::{Asker, Crossing, Encoded, LIGHT, Library, Way};
+use cherrystream_core::distribution::{
+    EncodedUpdate, FetchScheduler, FetchSource, MAX_INLINE_WEIGHT, Requester, UpdateCache,
+};
 use cherrystream_core::state::{ControlState, UpdateKind};
-use cherrystream_core::units::{Dotted, Revision, Timestamp};
+use cherrystream_core::units::{DisplayRevision, Revision, Timestamp};
 use cherrystream_net::chunks;
 use cherrystream_schema::messages::{
     Chunk, ChunkReply, ChunkRequest, Fetching, Offer, StateId, SyncRequest, Update,
@@ -31,8 +33,8 @@
 /// The encoded updates of this replica, and who fetches them.
 pub struct Distribution {
     failure_domain: String,
-    library: Mutex<Library>,
-    crossing: Mutex<Crossing>,
+    library: Mutex<UpdateCache>,
+    scheduler: Mutex<FetchScheduler>,
 }
 
 impl Distribution {
@@ -40,8 +42,8 @@
     pub fn new(failure_domain: &str) -> Distribution {
         Distribution {
             failure_domain: failure_domain.into(),
-            library: Mutex::new(Library::new(LIBRARY_BYTES)),
-            crossing: Mutex::default(),
+            library: Mutex::new(UpdateCache::new(LIBRARY_BYTES)),
+            scheduler: Mutex::default(),
         }
     }
 
@@ -53,24 +55,24 @@
         req: &SyncRequest,
         reach: &Reach,
     ) -> Lacking {
-        let asker = self.asker(&req.record.host, &req.record.failure_domain);
+        let requester = self.requester(&req.record.host, &req.record.failure_domain);
         let step = state.read().update_kind_since(req.held);
         match step {
             UpdateKind::Nothing => {
-                self.crossing.lock().on_done(asker);
+                self.scheduler.lock().on_done(requester);
                 return Lacking::Nothing;
             }
-            UpdateKind::Changes { weight } if weight <= LIGHT => {
-                self.crossing.lock().on_done(asker);
+            UpdateKind::Changes { weight } if weight <= MAX_INLINE_WEIGHT => {
+                self.scheduler.lock().on_done(requester);
                 return Lacking::Short(Box::new(state.read().update_since(req.held)));
             }
             UpdateKind::Changes { .. } | UpdateKind::Whole { .. } => {}
         }
-        if req.looks_in && !asker.near {
+        if req.looks_in && !requester.near {
             return Lacking::Nothing;
         }
         if let Some(fetching) = &req.fetching {
-            self.crossing.lock().on_fetching(now, asker, fetching.id);
+            self.scheduler.lock().on_fetching(now, requester, fetching.id);
             if self.goes_on(state, fetching) {
                 return Lacking::Nothing;
             }
@@ -81,16 +83,16 @@
             return Lacking::Nothing;
         }
         let is_there = |host: &str| reach.is_there(now, host, id.to);
-        match self.crossing.lock().way(now, asker, id, is_there) {
-            Way::Here => {
+        match self.scheduler.lock().source(now, requester, id, is_there) {
+            FetchSource::Replica => {
                 let first = encoded.chunk(0, FIRST_CHUNK).map(|data| chunks::encode(0, data));
                 Lacking::Long(Offer { id, first, peers: Vec::new() })
             }
-            Way::Peers(hosts) => {
+            FetchSource::Peers(hosts) => {
                 let peers = hosts.iter().filter_map(|host| reach.peer_address(host)).collect();
                 Lacking::Long(Offer { id, first: None, peers })
             }
-            Way::Later => Lacking::Later,
+            FetchSource::Later => Lacking::Later,
         }
     }
 
@@ -106,7 +108,12 @@
     }
 
     /// Returns the encoded update for a daemon. It is encoded once: the library is locked meanwhile.
-    fn encoded(&self, state: &RwLock<ControlState>, held: Revision, step: UpdateKind) -> Encoded {
+    fn encoded(
+        &self,
+        state: &RwLock<ControlState>,
+        held: Revision,
+        step: UpdateKind,
+    ) -> EncodedUpdate {
         let mut library = self.library.lock();
         let from = match step {
             UpdateKind::Whole { .. } => Revision::default(),
@@ -120,9 +127,13 @@
             return known.clone();
         }
         let update = state.read().update_since(held);
-        let encoded = Encoded::new(held, &update);
+        let encoded = EncodedUpdate::new(held, &update);
         let StateId { from, to, bytes, .. } = encoded.id();
-        log::info!("control: encoded {} to {} in {bytes} bytes", Dotted(from), Dotted(to));
+        log::info!(
+            "control: encoded {} to {} in {bytes} bytes",
+            DisplayRevision(from),
+            DisplayRevision(to)
+        );
         library.add(encoded.clone());
         encoded
     }
@@ -134,21 +145,21 @@
         let data = held.and_then(|held| held.chunk(req.offset, chunks::wanted(req.bytes)));
         let chunk: Option<Chunk> = data.map(|data| chunks::encode(req.offset, data));
         let sent = req.offset + data.map_or(0, |data| data.len() as u64);
-        let asker = self.asker(&req.host, &req.failure_domain);
+        let requester = self.requester(&req.host, &req.failure_domain);
         let rest = req.id.bytes.saturating_sub(sent);
-        self.crossing.lock().on_chunk(now, asker, req.id, rest);
+        self.scheduler.lock().on_chunk(now, requester, req.id, rest);
         ChunkReply { chunk }
     }
 
-    fn asker<'a>(&self, host: &'a str, failure_domain: &'a str) -> Asker<'a> {
-        Asker { host, failure_domain, near: failure_domain == self.failure_domain }
+    fn requester<'a>(&self, host: &'a str, failure_domain: &'a str) -> Requester<'a> {
+        Requester { host, failure_domain, near: failure_domain == self.failure_domain }
     }
 }
 
 fn is_light(step: UpdateKind) -> bool {
     match step {
         UpdateKind::Nothing => true,
-        UpdateKind::Changes { weight } => weight <= LIGHT,
+        UpdateKind::Changes { weight } => weight <= MAX_INLINE_WEIGHT,
         UpdateKind::Whole { .. } => false,
     }
 }
--- a/crates/cherrystream-daemon/src/inbound/mod.rs
+++ b/crates/cherrystream-daemon/src/inbound/mod.rs
@@ -5,7 +5,7 @@
 mod exchange;
 mod slowness_probe;
 
-use crate::held::HeldCell;
+use crate::current_config::CurrentConfigCell;
 use crate::local_server::{LocalServer, Permit};
 use crate::local_servers::LocalServers;
 use crate::metrics::{self, Metrics, ServerLabel};
@@ -121,7 +121,7 @@
     /// Slots reserved for calls whose bodies follow. Never locked together with the admission of a
     /// backend server.
     pub(crate) reservations: Mutex<Reservations<Permit>>,
-    pub(crate) held: Arc<HeldCell>,
+    pub(crate) held: Arc<CurrentConfigCell>,
     pub(crate) host: Arc<str>,
     pub(crate) phases: Phases,
     /// Time after which a long answer is cut off if its reader makes no progress.
@@ -174,7 +174,7 @@
 
     fn add_reservation(&self, permit: Permit) -> Reservation {
         let name = Reservation(rand::random());
-        self.reservations.lock().keep(self.clock.now(), name, permit);
+        self.reservations.lock().reserve(self.clock.now(), name, permit);
         name
     }
 
@@ -240,7 +240,7 @@
             return None;
         }
         let trying = rollout.stage == RolloutStage::Trying;
-        let confirmed = self.held.is_vouched_for(self.clock.now());
+        let confirmed = self.held.has_canary_lease(self.clock.now());
         (trying && !confirmed || server.is_circuit_open()).then_some(Reason::VersionInDoubt)
     }
 
--- a/crates/cherrystream-daemon/src/lib.rs
+++ b/crates/cherrystream-daemon/src/lib.rs
@@ -9,10 +9,10 @@
 
 #![forbid(unsafe_code)]
 
+pub mod current_config;
 pub mod errors;
 pub mod headers;
 pub mod health_checks;
-pub mod held;
 pub mod hop;
 pub mod inbound;
 pub mod instances;
--- a/crates/cherrystream-daemon/src/local_servers.rs
+++ b/crates/cherrystream-daemon/src/local_servers.rs
@@ -1,6 +1,6 @@
 //! The backend servers of this host.
 
-use crate::held::Held;
+use crate::current_config::CurrentConfig;
 use crate::local_server::{LocalServer, ServerName};
 use crate::metrics::{self, Metrics, ReasonLabel, ServerLabel};
 use cherrystream_core::admission;
@@ -170,7 +170,7 @@
     }
 
     /// Applies the accepted configuration. Requests in flight at a removed backend server finish.
-    pub fn set(&self, held: &Held) {
+    pub fn set(&self, held: &CurrentConfig) {
         self.set_cold_limits(held);
         self.set_services(held);
         self.set_rollout(held);
@@ -200,7 +200,7 @@
     }
 
     /// Sets the roll-out in progress of the service of the instance.
-    fn set_rollout(&self, held: &Held) {
+    fn set_rollout(&self, held: &CurrentConfig) {
         let Some(server) = self.instance() else { return };
         let rollout = held.shared.config.rollouts.get(&*server.id.service);
         let in_progress = rollout.filter(|rollout| rollout::is_in_progress(rollout));
@@ -208,7 +208,7 @@
     }
 
     /// Applies the rate limits of cold backend servers.
-    fn set_cold_limits(&self, held: &Held) {
+    fn set_cold_limits(&self, held: &CurrentConfig) {
         let stated = held.routes.iter().flat_map(|table| &table.services);
         let limits = stated.filter_map(|(name, service)| {
             let per_second = f64::from(service.cold_milli_per_s?) / MILLI;
@@ -238,7 +238,7 @@
     }
 
     /// Stores the names of the services of the configuration.
-    fn set_services(&self, held: &Held) {
+    fn set_services(&self, held: &CurrentConfig) {
         let Some(table) = &held.routes else { return };
         let listed = held.shared.config.services.keys();
         *self.services.write() = Some(table.services.keys().chain(listed).cloned().collect());
--- a/crates/cherrystream-daemon/src/role.rs
+++ b/crates/cherrystream-daemon/src/role.rs
@@ -1,8 +1,8 @@
 //! Puts the parts of the daemon role together.
 
+use crate::current_config::CurrentConfigCell;
 use crate::errors::Result;
 use crate::health_checks::{self, HealthCheckContext};
-use crate::held::HeldCell;
 use crate::inbound::Inbound;
 use crate::instances::Instances;
 use crate::ledger::LedgerClient;
@@ -16,7 +16,7 @@
 use crate::suspects::{self, SuspectWatch};
 use crate::sync::{Downloads, Newer, Sync, Tools};
 use cherrystream_core::attempts::{self, Attempts};
-use cherrystream_core::distribution::Library;
+use cherrystream_core::distribution::UpdateCache;
 use cherrystream_core::replica_choice::ReplicaChoice;
 use cherrystream_core::shared;
 use cherrystream_core::suspects::FingerprintKey;
@@ -68,7 +68,7 @@
     callers: JoinHandle<()>,
     peers: JoinHandle<()>,
     inbound: Arc<Inbound>,
-    held: Arc<HeldCell>,
+    held: Arc<CurrentConfigCell>,
 }
 
 impl Daemon {
@@ -84,7 +84,7 @@
         let record = record(all, settings, &peer_listener);
         let fingerprints = FingerprintKey::new(cx.key.as_ref().map(Secret::expose));
         let clock = Clock::default();
-        let held = Arc::new(HeldCell::default());
+        let held = Arc::new(CurrentConfigCell::default());
         let peers = Arc::new(Peers::new(cx.metrics.clone()));
         let newer = Arc::new(Newer::default());
         let routes_only = all.interface == Some(InterfaceKind::Platform);
@@ -134,8 +134,8 @@
             host: record.host.as_str().into(),
             record: record.clone(),
             policy: settings.policy.unwrap_or(ChoicePolicy::LowestLoad),
-            held: held.clone(),
-            tables: RwLock::default(),
+            current_config: held.clone(),
+            balancers: RwLock::default(),
             inbound: inbound.clone(),
             peers: peers.clone(),
             quotas: quotas.clone(),
@@ -153,14 +153,14 @@
             routes_only,
             caller_service: settings.service.as_deref().map(Into::into),
             routes: RwLock::default(),
-            first_asked: Mutex::default(),
+            elapsed_times: Mutex::default(),
             key: cx.key.clone(),
             fingerprints,
             phases: cx.phases.clone(),
             clock,
             metrics: cx.metrics.clone(),
         });
-        let library = Arc::new(Mutex::new(Library::new(LIBRARY_BYTES)));
+        let library = Arc::new(Mutex::new(UpdateCache::new(LIBRARY_BYTES)));
         let downloads = Arc::new(Downloads::new(Tools {
             held: held.clone(),
             library: library.clone(),
@@ -253,7 +253,7 @@
     }
 
     /// Returns the shared state held.
-    pub fn held(&self) -> &Arc<HeldCell> {
+    pub fn held(&self) -> &Arc<CurrentConfigCell> {
         &self.held
     }
 
@@ -328,7 +328,7 @@
 /// Puts each revision in force that is taken.
 async fn put_in_force(
     mut revisions: watch::Receiver<Revision>,
-    held: Arc<HeldCell>,
+    held: Arc<CurrentConfigCell>,
     outbound: Arc<Outbound>,
     inbound: Arc<Inbound>,
 ) {
@@ -341,6 +341,6 @@
             inbound.local_servers.invalidate_warmth();
         }
         inbound.local_servers.set(&now);
-        outbound.set(&now);
+        outbound.apply_config(&now);
     }
 }
--- a/crates/cherrystream-daemon/src/suspects/mod.rs
+++ b/crates/cherrystream-daemon/src/suspects/mod.rs
@@ -9,7 +9,7 @@
 pub use at_work::{AlonePlace, AtWork};
 pub use telling::read_bytes;
 
-use crate::held::HeldCell;
+use crate::current_config::CurrentConfigCell;
 use crate::local_server::LocalServer;
 use crate::local_servers::LocalServers;
 use crate::metrics::{Metrics, SuspectLabel};
@@ -37,10 +37,10 @@
 pub struct Tools {
     /// This host.
     pub host: Arc<str>,
-    /// LocalServers of this host.
+    /// Backend servers of this host.
     pub doors: Arc<LocalServers>,
     /// Shared state held.
-    pub held: Arc<HeldCell>,
+    pub held: Arc<CurrentConfigCell>,
     /// Connections to other daemons.
     pub peers: Arc<Peers>,
     /// Key of the system's own processes.
--- a/crates/cherrystream-daemon/tests/keys.rs
+++ b/crates/cherrystream-daemon/tests/keys.rs
@@ -201,7 +201,7 @@
         let index = self.revision.fetch_add(1, Ordering::SeqCst) + 1;
         let revision = Revision { term: 1, index };
         let update = Update { revision, changes: Vec::new(), full: Some(state) };
-        assert!(self.daemon.held().take(update));
+        assert!(self.daemon.held().apply(update));
         // Applied once a request to a path without a route gets the status that the key leads to.
         for _ in 0..1_000 {
             let wanted = if workspace == "nobody" { 401 } else { 404 };
