--- a/crates/cherrystream-daemon/src/inbound/mod.rs
+++ b/crates/cherrystream-daemon/src/inbound/mod.rs
@@ -121,7 +121,7 @@
     /// Slots reserved for calls whose bodies follow. Never locked together with the admission of a
     /// backend server.
     pub(crate) reservations: Mutex<Reservations<Permit>>,
-    pub(crate) held: Arc<CurrentConfigCell>,
+    pub(crate) current_config: Arc<CurrentConfigCell>,
     pub(crate) host: Arc<str>,
     pub(crate) phases: Phases,
     /// Time after which a long answer is cut off if its reader makes no progress.
@@ -194,7 +194,7 @@
 
     /// Returns the path of the health endpoint of a service of the route table.
     pub fn health_path(&self, service: &str) -> Option<String> {
-        let routes = self.held.get().routes?;
+        let routes = self.current_config.get().routes?;
         let service = routes.services.get(service)?;
         Some(service.health_path.clone())
     }
@@ -215,7 +215,7 @@
 
     /// Refuses requests while this host drains, was taken out or is evacuated.
     pub(crate) fn check_leaving(&self) -> Option<Reason> {
-        let out = shared::is_out(&self.held.get().shared, &self.host);
+        let out = shared::is_out(&self.current_config.get().shared, &self.host);
         (out || self.phases.now() >= Phase::Draining).then_some(Reason::HostLeaving)
     }
 
@@ -230,8 +230,8 @@
     /// the circuit breaker or whose trial control has not confirmed lately: control could not roll
     /// it back then.
     fn check_version(&self, server: &LocalServer) -> Option<Reason> {
-        let held = self.held.get();
-        let rollout = held.shared.config.rollouts.get(&*server.id.service)?;
+        let config = self.current_config.get();
+        let rollout = config.shared.config.rollouts.get(&*server.id.service)?;
         if rollout::is_held_back(Some(rollout), &server.version) {
             return Some(Reason::VersionHeldBack);
         }
@@ -240,7 +240,7 @@
             return None;
         }
         let trying = rollout.stage == RolloutStage::Trying;
-        let confirmed = self.held.has_canary_lease(self.clock.now());
+        let confirmed = self.current_config.has_canary_lease(self.clock.now());
         (trying && !confirmed || server.is_circuit_open()).then_some(Reason::VersionInDoubt)
     }
 
@@ -335,7 +335,7 @@
             Refused { retry_after: refusal.retry_after, ..refused }
         })?;
         // The failure domain may have been evacuated while the request waited.
-        match shared::is_evacuated(&self.held.get().shared, &self.host) {
+        match shared::is_evacuated(&self.current_config.get().shared, &self.host) {
             true => Err(self.refuse(Reason::HostLeaving)),
             false => Ok(permit),
         }
@@ -344,7 +344,8 @@
     /// Returns the flow of a request in fair queueing, if workspaces are in use: its workspace,
     /// with the permitted rate as its share. Requests of keyless routes form one flow.
     fn flow(&self, call: &InboundCall) -> Option<Flow> {
-        let routes = self.held.get().routes.filter(|routes| !routes.workspaces.is_empty())?;
+        let routes =
+            self.current_config.get().routes.filter(|routes| !routes.workspaces.is_empty())?;
         let workspace = call.workspace.clone().unwrap_or_default();
         let rate = routes.workspaces.get(&*workspace).map(|known| known.rate_milli_per_s);
         let share = rate.filter(|rate| *rate > 0).map(|rate| rate as f64);
--- a/crates/cherrystream-daemon/src/local_servers.rs
+++ b/crates/cherrystream-daemon/src/local_servers.rs
@@ -170,11 +170,11 @@
     }
 
     /// Applies the accepted configuration. Requests in flight at a removed backend server finish.
-    pub fn set(&self, held: &CurrentConfig) {
-        self.set_cold_limits(held);
-        self.set_services(held);
-        self.set_rollout(held);
-        let shared = &held.shared;
+    pub fn apply_config(&self, config: &CurrentConfig) {
+        self.set_cold_limits(config);
+        self.set_services(config);
+        self.set_rollout(config);
+        let shared = &config.shared;
         let mut servers = self.servers.write();
         let mut old = std::mem::take(&mut *servers);
         for (service, entry) in &shared.config.services {
@@ -200,16 +200,16 @@
     }
 
     /// Sets the roll-out in progress of the service of the instance.
-    fn set_rollout(&self, held: &CurrentConfig) {
+    fn set_rollout(&self, config: &CurrentConfig) {
         let Some(server) = self.instance() else { return };
-        let rollout = held.shared.config.rollouts.get(&*server.id.service);
+        let rollout = config.shared.config.rollouts.get(&*server.id.service);
         let in_progress = rollout.filter(|rollout| rollout::is_in_progress(rollout));
         server.set_rollout(in_progress.map(|rollout| rollout.started_at_ms));
     }
 
     /// Applies the rate limits of cold backend servers.
-    fn set_cold_limits(&self, held: &CurrentConfig) {
-        let stated = held.routes.iter().flat_map(|table| &table.services);
+    fn set_cold_limits(&self, config: &CurrentConfig) {
+        let stated = config.routes.iter().flat_map(|table| &table.services);
         let limits = stated.filter_map(|(name, service)| {
             let per_second = f64::from(service.cold_milli_per_s?) / MILLI;
             let limits = ColdLimits::new(per_second, self.opts.cold_over, self.opts.cold_slack);
@@ -238,9 +238,9 @@
     }
 
     /// Stores the names of the services of the configuration.
-    fn set_services(&self, held: &CurrentConfig) {
-        let Some(table) = &held.routes else { return };
-        let listed = held.shared.config.services.keys();
+    fn set_services(&self, config: &CurrentConfig) {
+        let Some(table) = &config.routes else { return };
+        let listed = config.shared.config.services.keys();
         *self.services.write() = Some(table.services.keys().chain(listed).cloned().collect());
     }
 
--- a/crates/cherrystream-daemon/src/role.rs
+++ b/crates/cherrystream-daemon/src/role.rs
@@ -110,7 +110,7 @@
                 ..attempts::Options::default()
             })),
             reservations: Mutex::default(),
-            held: held.clone(),
+            current_config: held.clone(),
             host: record.host.as_str().into(),
             phases: cx.phases.clone(),
             stall_limit: Duration::from_millis(settings.stall_limit_ms),
@@ -340,7 +340,7 @@
             // Its backend servers may have become cold while they got no work.
             inbound.local_servers.invalidate_warmth();
         }
-        inbound.local_servers.set(&now);
+        inbound.local_servers.apply_config(&now);
         outbound.apply_config(&now);
     }
 }
--- a/crates/cherrystream-daemon/tests/reports.rs
+++ b/crates/cherrystream-daemon/tests/reports.rs
@@ -99,9 +99,9 @@
         workspaces: BTreeMap::new(),
     };
     let revision = Revision { term: 1, index: 1 };
-    let held =
+    let config =
         CurrentConfig { revision, shared: Arc::new(shared::empty()), routes: Some(table.into()) };
-    local_servers.set(&held);
+    local_servers.apply_config(&config);
     let instances = instances_at(&local_servers);
     let record = InstanceRecord {
         instance: instance(),
--- a/crates/cherrystream-daemon/tests/successors.rs
+++ b/crates/cherrystream-daemon/tests/successors.rs
@@ -30,7 +30,7 @@
         full: Some(shared::empty()),
     };
     assert!(daemon.held().apply(update));
-    daemon.inbound().local_servers.set(&daemon.held().get());
+    daemon.inbound().local_servers.apply_config(&daemon.held().get());
     daemon
 }
 
