--- a/crates/cherrystream-daemon/src/suspects/at_work.rs
+++ b/crates/cherrystream-daemon/src/suspects/at_work.rs
@@ -1,7 +1,7 @@
 //! Requests at work at a backend server, and the search for the proof that it has ended.
 
 use super::SuspectWatch;
-use crate::door::Door;
+use crate::local_server::LocalServer;
 use cherrystream_core::suspects::crashes::Ticket;
 use cherrystream_core::suspects::{CrashId, Identity, SentRequest};
 use cherrystream_core::units::Timestamp;
@@ -18,27 +18,27 @@
 
 /// The place of the one request that may run alone at a door; dropping it frees it.
 pub struct AlonePlace {
-    door: Arc<Door>,
+    door: Arc<LocalServer>,
 }
 
 impl AlonePlace {
     /// Takes the place, if it is free.
-    pub fn take(door: &Arc<Door>) -> Option<AlonePlace> {
-        let is_free = door.ends().begin_isolated();
+    pub fn take(door: &Arc<LocalServer>) -> Option<AlonePlace> {
+        let is_free = door.crash_detector().begin_isolated();
         is_free.then(|| AlonePlace { door: door.clone() })
     }
 }
 
 impl Drop for AlonePlace {
     fn drop(&mut self) {
-        self.door.ends().end_isolated();
+        self.door.crash_detector().end_isolated();
     }
 }
 
 /// A request at work, from its first byte. Dropped without a word, it counts as one whose caller has left.
 pub struct AtWork {
     watch: Arc<SuspectWatch>,
-    door: Arc<Door>,
+    door: Arc<LocalServer>,
     sent: SentRequest,
     sent_at: Timestamp,
     ticket: Ticket,
@@ -50,7 +50,7 @@
     /// Notes that a request leaves for the backend server.
     pub fn begin(
         watch: &Arc<SuspectWatch>,
-        door: &Arc<Door>,
+        door: &Arc<LocalServer>,
         identity: Identity,
         place: Option<AlonePlace>,
     ) -> AtWork {
@@ -60,7 +60,7 @@
             door: door.clone(),
             sent: SentRequest { identity, isolated: place.is_some() },
             sent_at,
-            ticket: door.ends().begin(sent_at),
+            ticket: door.crash_detector().begin(sent_at),
             is_settled: false,
             _place: place,
         }
@@ -70,7 +70,7 @@
     /// when a call that it needs fails. When it did, 13 servers ended under one such request in place of 3.
     pub fn answered(mut self, failed: bool) {
         self.is_settled = true;
-        self.door.ends().on_answer(self.sent_at);
+        self.door.crash_detector().on_answer(self.sent_at);
         if !failed {
             self.watch.on_answer(&self.door, self.sent.identity.request);
         }
@@ -79,7 +79,7 @@
     /// Notes that the server did not run it; so it is there, or another run of it is.
     pub fn not_run(mut self) {
         self.is_settled = true;
-        self.door.ends().on_answer(self.sent_at);
+        self.door.crash_detector().on_answer(self.sent_at);
     }
 
     /// Notes that nothing of it was sent, or that what came was no answer to it.
@@ -91,8 +91,8 @@
     pub fn broke(mut self) {
         self.is_settled = true;
         let now = self.watch.tools.clock.now();
-        self.door.ends().finish(self.ticket);
-        let ended = self.door.ends().on_connection_broken(now, self.sent_at, self.sent);
+        self.door.crash_detector().finish(self.ticket);
+        let ended = self.door.crash_detector().on_connection_broken(now, self.sent_at, self.sent);
         match ended {
             Some(ended) if !self.watch.is_planned(&self.door) => {
                 self.watch.on_end(&self.door, &ended);
@@ -105,46 +105,46 @@
 
 impl Drop for AtWork {
     fn drop(&mut self) {
-        self.door.ends().finish(self.ticket);
+        self.door.crash_detector().finish(self.ticket);
         if !self.is_settled {
             let now = self.watch.tools.clock.now();
-            self.door.ends().on_caller_disconnected(now, self.sent_at, self.sent);
+            self.door.crash_detector().on_caller_disconnected(now, self.sent_at, self.sent);
         }
     }
 }
 
 impl SuspectWatch {
     /// Looks for the proof that a door's backend server has ended, if connections have broken there and nobody looks yet.
-    pub fn look(self: &Arc<Self>, door: &Arc<Door>) {
-        if door.ends().begin_probe(self.tools.clock.now()) {
+    pub fn look(self: &Arc<Self>, door: &Arc<LocalServer>) {
+        if door.crash_detector().begin_probe(self.tools.clock.now()) {
             let (watch, door) = (self.clone(), door.clone());
             tokio::spawn(async move {
                 if watch.finds_proof(&door).await {
                     watch.on_proof(&door);
                 }
-                door.ends().end_probe();
+                door.crash_detector().end_probe();
             });
         }
     }
 
-    async fn finds_proof(&self, door: &Arc<Door>) -> bool {
+    async fn finds_proof(&self, door: &Arc<LocalServer>) -> bool {
         let mut is_kept = false;
         for wait in LOOKS {
             tokio::time::sleep(wait).await;
-            if !door.ends().has_unexplained(self.tools.clock.now()) {
+            if !door.crash_detector().has_unexplained(self.tools.clock.now()) {
                 return false;
             }
             let fate = door.backend.probe().await;
             is_kept |= fate == Probe::Kept;
-            if fate == Probe::Refused && !door.ends().has_survivor() {
+            if fate == Probe::Refused && !door.crash_detector().has_survivor() {
                 return true;
             }
         }
         // Whoever passes connections on for the server takes them while it is down, and closes them.
-        if !is_kept && !door.ends().has_survivor() {
+        if !is_kept && !door.crash_detector().has_survivor() {
             return true;
         }
-        while door.ends().has_unexplained(self.tools.clock.now()) {
+        while door.crash_detector().has_unexplained(self.tools.clock.now()) {
             if self.is_followed(door) {
                 return true;
             }
@@ -154,19 +154,19 @@
     }
 
     /// Returns whether another run has taken the place of a backend server that reported itself.
-    fn is_followed(&self, door: &Arc<Door>) -> bool {
+    fn is_followed(&self, door: &Arc<LocalServer>) -> bool {
         let listed = self.tools.doors.listed().iter().any(|known| Arc::ptr_eq(known, door));
         let instance = self.tools.doors.instance();
         !listed && instance.is_some_and(|now| !Arc::ptr_eq(&now, door))
     }
 
-    fn on_proof(self: &Arc<Self>, door: &Arc<Door>) {
+    fn on_proof(self: &Arc<Self>, door: &Arc<LocalServer>) {
         let now = self.tools.clock.now();
         if self.is_planned(door) {
-            door.ends().on_planned_stop();
+            door.crash_detector().on_planned_stop();
             return;
         }
-        let ended = door.ends().on_crash(now, CrashId(rand::random()));
+        let ended = door.crash_detector().on_crash(now, CrashId(rand::random()));
         if let Some(ended) = ended {
             self.on_end(door, &ended);
         }
