--- a/crates/cherrystream-control/src/applier.rs
+++ b/crates/cherrystream-control/src/applier.rs
@@ -1,8 +1,8 @@
 //! The thread that applies committed entries.
 //!
-//! A route table of 14,000 routes takes 163 ms to apply (894 ms in a debug build). The thread that drives the log goes on
-//! with heartbeats and votes meanwhile, so that no leader is taken for dead. Entries are unpacked before the state is
-//! locked: daemons' heartbeats read it.
+//! A large route table takes long to apply. The thread that drives the log sends heartbeats and
+//! votes meanwhile, so that a leader which applies entries is not replaced. Entries are unpacked
+//! before the state is locked, because the heartbeats of daemons read the state.
 
 use crate::backlog::Backlog;
 use crate::handle::Event;
@@ -16,33 +16,34 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time for which the state is kept locked while entries are applied: readers wait no longer, but for one long entry.
-const APPLY_SLICE: Duration = Duration::from_millis(20);
+/// Longest time that the state stays locked while entries are applied, except for a single entry
+/// that takes longer.
+const MAX_LOCK_TIME: Duration = Duration::from_millis(20);
 
-/// What is to be applied.
+/// Work for the applying thread.
 enum Work {
-    /// Committed entries, in the order of the log.
+    /// Committed entries, in log order.
     Entries(Vec<Entry>),
-    /// The state of a snapshot, in place of everything before it.
+    /// The state of a snapshot, which replaces everything before it.
     Install(Box<ControlState>, Position),
 }
 
-/// An entry that was applied: its position, and what it led to.
+/// Position of an applied entry and the result of applying it.
 pub type Outcome = (Position, Applied);
 
-/// Applies entries in the order in which they are handed over.
+/// Queues work for the thread that applies entries.
 pub struct Applier {
     work: Sender<Work>,
-    /// Last position that was handed over.
-    handed_over: Position,
+    /// Position of the last queued work.
+    last_queued: Position,
 }
 
 impl Applier {
-    /// Starts the thread. It tells of what it applied by events.
+    /// Starts the thread. It reports applied entries as events.
     ///
     /// # Errors
     ///
-    /// Fails when there can be no further thread.
+    /// Fails when the thread cannot be started.
     pub fn start(
         state: Arc<RwLock<ControlState>>,
         applied: Position,
@@ -52,36 +53,36 @@
         let (work, rx) = mpsc::channel();
         let worker = Worker { state, events, metrics, backlog: Backlog::default() };
         thread::Builder::new().name("control-apply".into()).spawn(move || worker.run(&rx))?;
-        Ok(Applier { work, handed_over: applied })
+        Ok(Applier { work, last_queued: applied })
     }
 
-    /// Hands committed entries over.
+    /// Queues committed entries.
     pub fn apply(&mut self, entries: Vec<Entry>) {
         let Some(last) = entries.last() else { return };
-        self.handed_over = Position { term: last.term, index: last.index };
-        self.hand_over(Work::Entries(entries));
+        self.last_queued = Position { term: last.term, index: last.index };
+        self.send(Work::Entries(entries));
     }
 
-    /// Hands the state of a snapshot over.
+    /// Queues the state of a snapshot.
     pub fn install(&mut self, state: ControlState, at: Position) {
-        self.handed_over = at;
-        self.hand_over(Work::Install(Box::new(state), at));
+        self.last_queued = at;
+        self.send(Work::Install(Box::new(state), at));
     }
 
-    /// Returns whether everything that was handed over is applied, by the position that was told last.
-    pub fn is_done(&self, told: Position) -> bool {
-        told == self.handed_over
+    /// Returns whether all queued work is applied, given the last reported position.
+    pub fn is_done(&self, reported: Position) -> bool {
+        reported == self.last_queued
     }
 
-    fn hand_over(&self, work: Work) {
+    fn send(&self, work: Work) {
         if self.work.send(work).is_err() {
-            // Its panic has been written to the log, and the process cannot go on.
+            // The thread panicked, and the log holds the reason.
             panic!("the thread that applies entries has ended");
         }
     }
 }
 
-/// The thread's side.
+/// State of the applying thread.
 struct Worker {
     state: Arc<RwLock<ControlState>>,
     events: Sender<Event>,
@@ -92,22 +93,22 @@
 impl Worker {
     fn run(mut self, rx: &Receiver<Work>) {
         while let Ok(work) = rx.recv() {
-            self.take(work);
+            self.enqueue(work);
             while !self.backlog.is_empty() {
                 self.apply_slice();
-                // What waits behind may show that some of it need not be unpacked.
-                rx.try_iter().for_each(|work| self.take(work));
+                // Later route tables may supersede queued ones, which then need no unpacking.
+                rx.try_iter().for_each(|work| self.enqueue(work));
             }
         }
     }
 
-    fn take(&mut self, work: Work) {
+    fn enqueue(&mut self, work: Work) {
         match work {
             Work::Entries(entries) => self.backlog.extend(entries),
             Work::Install(state, at) => {
                 self.backlog.clear();
                 *self.state.write() = *state;
-                self.tell(vec![(at, Applied::Nothing)]);
+                self.report(vec![(at, Applied::Nothing)]);
             }
         }
     }
@@ -117,18 +118,20 @@
         let mut outcomes = Vec::new();
         {
             let mut state = self.state.write();
-            let until = Instant::now() + APPLY_SLICE;
-            let is_over = || Instant::now() >= until;
-            let tell = |at, applied| outcomes.push((at, applied));
-            self.backlog.apply_unpacked(&mut state, is_over, tell);
+            let deadline = Instant::now() + MAX_LOCK_TIME;
+            let is_over = || Instant::now() >= deadline;
+            let on_applied = |at, applied| outcomes.push((at, applied));
+            self.backlog.apply_unpacked(&mut state, is_over, on_applied);
             self.metrics.keys_held.set(state.ledger().len() as i64);
         }
-        self.tell(outcomes);
+        self.report(outcomes);
     }
 
-    fn tell(&self, outcomes: Vec<Outcome>) {
+    fn report(&self, outcomes: Vec<Outcome>) {
         if !outcomes.is_empty() && self.events.send(Event::Applied(outcomes)).is_err() {
-            log::debug!("control: entries were applied after the log was closed");
+            log::debug!(
+                "control: discarded the outcomes of entries applied after the log was closed"
+            );
         }
     }
 }
--- a/crates/cherrystream-control/src/arrivals.rs
+++ b/crates/cherrystream-control/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! Long messages of other replicas, which arrive in pieces.
+//! Receives long messages of other replicas, which are transferred in pieces.
 
 use crate::handle::Event;
 use cherrystream_core::transfer::{self, DecodeError, PieceError, PieceOutcome, Receiving};
@@ -11,92 +11,92 @@
 use std::sync::mpsc;
 use tokio::task::{self, JoinError};
 
-/// Why a long message is refused.
+/// Reason to reject a long message.
 #[derive(Debug, Snafu)]
-pub enum ArrivalFault {
-    /// A piece of it makes no sense.
+pub enum TransferError {
+    /// A piece is invalid.
     #[snafu(display("{source}"))]
     Piece {
-        /// What is wrong.
+        /// Reason.
         source: PieceError,
     },
-    /// It is no message.
+    /// The content is not a message.
     #[snafu(display("{source}"))]
     Message {
-        /// What is wrong.
+        /// Reason.
         source: DecodeError,
     },
-    /// It was not read to the end.
-    #[snafu(display("reading it was broken off: {source}"))]
+    /// The task that decodes the message was cancelled or panicked.
+    #[snafu(display("decoding the message was interrupted: {source}"))]
     Reading {
-        /// Why.
+        /// Reason.
         source: JoinError,
     },
-    /// Its pieces were sent by another replica than the one that it names.
-    #[snafu(display("it names another sender"))]
+    /// The message names another sender than its pieces.
+    #[snafu(display("the message names another sender than its pieces"))]
     Sender,
-    /// The log takes no messages any more.
+    /// The driver of the log has stopped.
     #[snafu(display("this replica has stopped"))]
     Stopped,
 }
 
-/// Long messages on their way here.
+/// Long messages that are being received.
 #[derive(Clone, Debug)]
 pub struct Arrivals {
     receiving: Arc<Mutex<Receiving>>,
-    /// Takes them once they are whole.
+    /// Receives complete messages.
     events: mpsc::Sender<Event>,
 }
 
 impl Arrivals {
-    /// Creates one that hands whole messages to the driver of the log.
+    /// Creates a receiver that passes complete messages to the driver of the log.
     pub fn new(events: mpsc::Sender<Event>) -> Arrivals {
         let receiving = Receiving::new(u64::from(MESSAGE_BYTES));
         Arrivals { receiving: Arc::new(Mutex::new(receiving)), events }
     }
 
-    /// Takes a piece; returns how many bytes of its message are held. A message that is whole is handed
-    /// on even if the caller no longer waits, for the sender counts it as arrived.
+    /// Records a piece and returns the number of bytes received of its message. A complete message
+    /// is passed on even if the call is cancelled, because the sender considers it delivered.
     ///
     /// # Errors
     ///
-    /// Fails on what makes no sense; nothing of the message is held then.
-    pub async fn take(&self, now: Timestamp, piece: Piece) -> Result<u64, ArrivalFault> {
-        let taken = self.receiving.lock().take(now, &piece).context(PieceSnafu)?;
-        let content = match taken {
+    /// Fails on an invalid piece or message, and discards the message.
+    pub async fn take(&self, now: Timestamp, piece: Piece) -> Result<u64, TransferError> {
+        let outcome = self.receiving.lock().take(now, &piece).context(PieceSnafu)?;
+        let content = match outcome {
             PieceOutcome::Held(held) => return Ok(held),
             PieceOutcome::Whole(content) => content,
         };
         let total = piece.total;
         let arrivals = self.clone();
-        // Reading takes a while, and a blocking task that began runs to its end.
-        let handing_on = task::spawn_blocking(move || arrivals.hand_on(&content, &piece));
-        handing_on.await.context(ReadingSnafu)??;
+        // Decoding takes long. A blocking task that has started is not cancelled.
+        let delivery = task::spawn_blocking(move || arrivals.deliver(&content, &piece));
+        delivery.await.context(ReadingSnafu)??;
         Ok(total)
     }
 
-    /// Forgets messages that make no progress.
+    /// Discards messages that make no progress.
     pub fn tidy(&self, now: Timestamp) {
         self.receiving.lock().discard_stalled(now);
     }
 
-    fn hand_on(&self, content: &[u8], piece: &Piece) -> Result<(), ArrivalFault> {
-        let read = read(content, piece);
-        if let Err(e) = &read {
-            log::warn!("control: a long message of replica {} is refused: {e}", piece.from);
+    fn deliver(&self, content: &[u8], piece: &Piece) -> Result<(), TransferError> {
+        let decoded = decode(content, piece);
+        if let Err(e) = &decoded {
+            log::warn!("control: rejected a long message of replica {}: {e}", piece.from);
             self.receiving.lock().discard(piece.from);
         }
-        let sent = self.events.send(Event::Messages(vec![read?]));
-        sent.map_err(|_| ArrivalFault::Stopped)
+        let sent = self.events.send(Event::Messages(vec![decoded?]));
+        sent.map_err(|_| TransferError::Stopped)
     }
 }
 
-fn read(content: &[u8], piece: &Piece) -> Result<RaftMessage, ArrivalFault> {
+fn decode(content: &[u8], piece: &Piece) -> Result<RaftMessage, TransferError> {
     let mut msg = transfer::unpack(content, u64::from(MESSAGE_BYTES)).context(MessageSnafu)?;
     if msg.from != piece.from {
-        return Err(ArrivalFault::Sender);
+        return Err(TransferError::Sender);
     }
-    // The message was packed when the transfer began.
+    // The message was packed at the start of the transfer, perhaps in an earlier term.
     msg.term = piece.term;
     Ok(msg)
 }
--- a/crates/cherrystream-control/src/contacts.rs
+++ b/crates/cherrystream-control/src/contacts.rs
@@ -1,34 +1,35 @@
-//! Addresses that a replica without a place has learned, kept over restarts.
+//! Addresses of members that a standby has learned, stored on disk.
 //!
-//! The settings may name seeds that are all without a place, and all hosts may lose power at once. What a
-//! replica that stands by has learned of the members is then the only way to find them.
+//! All seeds in the settings may be standbys. After a restart of all hosts, the stored addresses
+//! are then the only way to find the members.
 
 use crate::folder::Folder;
 use std::io;
 
-/// Name of the file.
-pub(crate) const FILE: &str = "contacts.json";
-/// Name of the file while it is written.
-const UNFINISHED: &str = "contacts.json.new";
+/// Name of the file that holds the addresses.
+pub(crate) const CONTACTS_FILE: &str = "contacts.json";
+/// Name of the file until it is complete.
+const UNFINISHED_FILE: &str = "contacts.json.new";
 
-/// Returns the addresses that were learned. A file that cannot be read is no loss: the seeds are asked.
+/// Returns the stored addresses. Returns none when the file cannot be read: the seeds are the
+/// fallback.
 pub fn read(folder: &impl Folder) -> Vec<String> {
-    let read = folder.read(FILE).ok();
+    let read = folder.read(CONTACTS_FILE).ok();
     read.and_then(|bytes| serde_json::from_slice(&bytes).ok()).unwrap_or_default()
 }
 
-/// Keeps addresses in place of those kept before.
+/// Replaces the stored addresses.
 ///
 /// # Errors
 ///
-/// Fails when the folder does not take the file; those kept before stay.
+/// Fails when the file cannot be written. The previous addresses remain.
 pub fn write(folder: &mut impl Folder, addresses: &[String]) -> io::Result<()> {
-    // Left behind by a write that did not end.
-    if folder.list()?.iter().any(|name| name == UNFINISHED) {
-        folder.remove(UNFINISHED)?;
+    // An interrupted write may have left the file.
+    if folder.list()?.iter().any(|name| name == UNFINISHED_FILE) {
+        folder.remove(UNFINISHED_FILE)?;
     }
-    folder.append(UNFINISHED, &serde_json::to_vec(addresses)?)?;
-    folder.sync(UNFINISHED)?;
-    folder.rename(UNFINISHED, FILE)?;
+    folder.append(UNFINISHED_FILE, &serde_json::to_vec(addresses)?)?;
+    folder.sync(UNFINISHED_FILE)?;
+    folder.rename(UNFINISHED_FILE, CONTACTS_FILE)?;
     folder.sync_names()
 }
--- a/crates/cherrystream-control/src/driver.rs
+++ b/crates/cherrystream-control/src/driver.rs
@@ -1,4 +1,5 @@
-//! The thread that drives the replicated log: it alone touches the disk. Another one applies entries.
+//! The thread that drives the replicated log and does all its disk I/O. Another thread applies
+//! committed entries.
 
 use crate::applier::{Applier, Outcome};
 use crate::errors::{Error, Result};
@@ -6,7 +7,7 @@
 use crate::handle::{Event, Handle, NoResult, Standing};
 use crate::metrics::Metrics;
 use crate::peers::Peers;
-use crate::snapshots::{self, Made};
+use crate::snapshots::{self, FinishedSnapshot};
 use crate::store::{Batch, Store};
 use cherrystream_core::raft::rejoin::{self, PlaceView};
 use cherrystream_core::raft::{JoiningReplica, Options, Position, Raft, Ready};
@@ -22,25 +23,25 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{oneshot, watch};
 
-/// Time between looks at the clock.
+/// Longest time between two ticks of the Raft state machine.
 const TICK: Duration = Duration::from_millis(20);
-/// Events taken before the log is flushed, so that they share one sync.
-const EVENTS_AT_ONCE: usize = 1_024;
-/// Time between tries to write where the disk had no room.
-const WRITE_AGAIN: Duration = Duration::from_millis(200);
-/// Longest wait for another replica to take the leadership.
-const HAND_OVER: Duration = Duration::from_millis(1_500);
+/// Events handled before the log is flushed. They share one sync.
+const MAX_EVENTS_PER_FLUSH: usize = 1_024;
+/// Time between attempts to write to a full disk.
+const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Longest wait for another replica to become the leader.
+const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 type Waiter = oneshot::Sender<std::result::Result<Applied, NoResult>>;
 
-/// The driver's thread.
+/// State of the driver thread.
 pub struct Driver<F> {
     pub(crate) raft: Raft,
     pub(crate) store: Store<F>,
     pub(crate) state: Arc<RwLock<ControlState>>,
     standing: watch::Sender<Standing>,
     addresses: Arc<RwLock<BTreeMap<u64, ReplicaAddress>>>,
-    quorum_word: Arc<RwLock<Option<Timestamp>>>,
+    last_quorum_contact: Arc<RwLock<Option<Timestamp>>>,
     caught_up: Arc<RwLock<Option<Timestamp>>>,
     pub(crate) peers: Peers,
     metrics: Metrics,
@@ -52,17 +53,18 @@
     waiters: BTreeMap<Position, Waiter>,
     reads: BTreeMap<u64, oneshot::Sender<std::result::Result<u64, NoResult>>>,
     next_read: u64,
-    handing_over: Option<(Instant, oneshot::Sender<()>)>,
-    led: bool,
-    /// A snapshot that another thread makes.
-    pub(crate) snapshots: Option<Receiver<Result<Made>>>,
-    /// Replicas that wait for a snapshot.
+    leadership_transfer: Option<(Instant, oneshot::Sender<()>)>,
+    was_leader: bool,
+    /// Snapshot that another thread is creating.
+    pub(crate) pending_snapshot: Option<Receiver<Result<FinishedSnapshot>>>,
+    /// Replicas that need a snapshot.
     pub(crate) need_snapshot: Vec<u64>,
-    /// Times that the file was replaced while entries stayed in memory for a snapshot on its way.
-    pub(crate) compactions_held: u32,
+    /// Number of times that the file was replaced while entries stayed in memory because a snapshot
+    /// was being sent.
+    pub(crate) deferred_compactions: u32,
 }
 
-/// Opens the store and starts the driver's thread.
+/// Opens the store and starts the driver thread.
 ///
 /// # Errors
 ///
@@ -74,33 +76,36 @@
     metrics: Metrics,
     on_failure: impl FnOnce(Error) + Send + 'static,
 ) -> Result<(Handle, thread::JoinHandle<()>)> {
-    let (store, found) = Store::open(folder, opts.id, &opts.disk)?;
-    if found.torn_bytes > 0 {
-        log::warn!("control: cut off {} bytes of an unfinished last write", found.torn_bytes);
+    let (store, recovered) = Store::open(folder, opts.id, &opts.disk)?;
+    if recovered.torn_bytes > 0 {
+        log::warn!("control: truncated {} bytes of an incomplete last write", recovered.torn_bytes);
     }
     opts.disk = store.disk().into();
     let clock = Clock::default();
-    let restored_state = match &found.restored.snapshot {
+    let restored_state = match &recovered.restored.snapshot {
         Some(snapshot) => snapshots::read_state(snapshot),
         None => ControlState::default(),
     };
     let state = Arc::new(RwLock::new(restored_state));
-    let applied = found
+    let applied = recovered
         .restored
         .snapshot
         .as_ref()
         .map_or(Position { term: 0, index: 0 }, |s| Position { term: s.term, index: s.index });
-    let hard =
-        found.restored.hard.clone().unwrap_or(HardState { term: 0, voted_for: None, commit: 0 });
+    let hard = recovered.restored.hard.clone().unwrap_or(HardState {
+        term: 0,
+        voted_for: None,
+        commit: 0,
+    });
     let id = opts.id;
     log::info!("control: replica {id} opened its log at index {}", applied.index);
-    let raft = Raft::new(opts, found.restored, clock.now());
+    let raft = Raft::new(opts, recovered.restored, clock.now());
     let (events, rx) = mpsc::channel();
     let applier = Applier::start(state.clone(), applied, events.clone(), metrics.clone())
         .map_err(crate::errors::folder("start the thread that applies entries"))?;
     let (standing, standing_rx) = watch::channel(Standing::default());
     let addresses = Arc::<RwLock<BTreeMap<u64, ReplicaAddress>>>::default();
-    let quorum_word = Arc::<RwLock<Option<Timestamp>>>::default();
+    let last_quorum_contact = Arc::<RwLock<Option<Timestamp>>>::default();
     let caught_up = Arc::<RwLock<Option<Timestamp>>>::default();
     let handle = Handle {
         events,
@@ -108,7 +113,7 @@
         standing: standing_rx,
         replica: id,
         addresses: addresses.clone(),
-        quorum_word: quorum_word.clone(),
+        quorum_word: last_quorum_contact.clone(),
         caught_up: caught_up.clone(),
         clock,
     };
@@ -118,7 +123,7 @@
         state,
         standing,
         addresses,
-        quorum_word,
+        last_quorum_contact,
         caught_up,
         peers,
         metrics,
@@ -130,11 +135,11 @@
         waiters: BTreeMap::new(),
         reads: BTreeMap::new(),
         next_read: 0,
-        handing_over: None,
-        led: false,
-        snapshots: None,
+        leadership_transfer: None,
+        was_leader: false,
+        pending_snapshot: None,
         need_snapshot: Vec::new(),
-        compactions_held: 0,
+        deferred_compactions: 0,
     };
     let thread = thread::Builder::new()
         .name("control-log".into())
@@ -143,7 +148,7 @@
                 on_failure(e);
             }
         })
-        .map_err(crate::errors::folder("start the log's thread"))?;
+        .map_err(crate::errors::folder("start the thread that drives the log"))?;
     Ok((handle, thread))
 }
 
@@ -152,28 +157,28 @@
         loop {
             match rx.recv_timeout(TICK) {
                 Ok(Event::Stop) | Err(RecvTimeoutError::Disconnected) => return Ok(()),
-                Ok(Event::Replaced) if self.gives_up() => return self.forget(),
-                Ok(event) => self.take(event),
+                Ok(Event::Replaced) if self.may_discard_log() => return self.discard_log(),
+                Ok(event) => self.handle_event(event),
                 Err(RecvTimeoutError::Timeout) => {}
             }
-            for event in rx.try_iter().take(EVENTS_AT_ONCE) {
+            for event in rx.try_iter().take(MAX_EVENTS_PER_FLUSH) {
                 match event {
                     Event::Stop => return Ok(()),
-                    Event::Replaced if self.gives_up() => return self.forget(),
-                    event => self.take(event),
+                    Event::Replaced if self.may_discard_log() => return self.discard_log(),
+                    event => self.handle_event(event),
                 }
             }
             let now = self.clock.now();
             self.raft.tick(now);
             self.raft.flush(now);
             self.raft.flush_reads(now);
-            self.work_off()?;
+            self.process_ready()?;
             self.publish();
-            self.work_on_snapshots()?;
+            self.poll_snapshots()?;
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.clock.now();
         match event {
             Event::Messages(messages) => {
@@ -205,7 +210,7 @@
             }
             Event::Admit(request, reply) => {
                 let leader = self.raft.leader();
-                let newcomer = JoiningReplica {
+                let candidate = JoiningReplica {
                     address: &request.address,
                     disk: &request.disk,
                     failure_domain: &request.failure_domain,
@@ -213,58 +218,59 @@
                     runs_as: request.runs_as,
                 };
                 let answer = match self.raft.is_leader() {
-                    true => Ok(self.raft.admit(now, newcomer)),
+                    true => Ok(self.raft.admit(now, candidate)),
                     false => Err(NoResult::NotLeader { leader }),
                 };
                 let _ = reply.send(answer);
             }
-            Event::Applied(outcomes) => self.note_applied(outcomes),
+            Event::Applied(outcomes) => self.on_applied(outcomes),
             Event::HandOver(reply) => {
                 self.raft.transfer_leadership(now);
-                self.handing_over = Some((Instant::now(), reply));
+                self.leadership_transfer = Some((Instant::now(), reply));
             }
             Event::Stop | Event::Replaced => {}
         }
     }
 
-    /// Returns whether a replica that was told that its place is lost may believe it.
-    fn gives_up(&self) -> bool {
+    /// Returns whether this replica may discard its data after a report that its member slot is
+    /// lost. A replica that belongs to a working quorum ignores such a report.
+    fn may_discard_log(&self) -> bool {
         let view = PlaceView {
             leads: self.raft.is_leader(),
             votes: self.raft.is_voter(),
             word: self.raft.quorum_contact(self.clock.now()),
         };
-        let gives_up = rejoin::may_discard_data(view);
-        if !gives_up {
+        let may_discard = rejoin::may_discard_data(view);
+        if !may_discard {
             log::warn!(
-                "control: replica {} was told that its place is lost, but is part of a quorum; it \
-                 keeps its place ({view:?})",
+                "control: replica {} received a report that its member slot is lost, but belongs \
+                 to a quorum; it keeps its place ({view:?})",
                 self.raft.id()
             );
         }
-        gives_up
+        may_discard
     }
 
-    /// Sets the log of a replica aside whose place was given away. Its run ends; the next one asks for
-    /// another place.
-    fn forget(&mut self) -> Result<()> {
+    /// Renames the log files of a replica that lost its member slot, and ends the driver. The next
+    /// incarnation asks for a new member slot.
+    fn discard_log(&mut self) -> Result<()> {
         self.store.set_aside()?;
         Err(Error::Replaced { replica: self.raft.id() })
     }
 
-    /// Does what the replica asks for until it asks for nothing more.
-    fn work_off(&mut self) -> Result<()> {
+    /// Processes the pending work of the Raft state machine until there is none left.
+    fn process_ready(&mut self) -> Result<()> {
         loop {
             let ready = self.raft.take_ready();
             if ready.is_empty() {
                 return Ok(());
             }
-            self.work(ready)?;
+            self.process(ready)?;
             self.raft.saved(self.clock.now());
         }
     }
 
-    fn work(&mut self, ready: Ready) -> Result<()> {
+    fn process(&mut self, ready: Ready) -> Result<()> {
         self.peers.send(ready.immediate_messages);
         if let Some(hard) = &ready.hard {
             self.hard = hard.clone();
@@ -287,18 +293,18 @@
         Ok(())
     }
 
-    /// Makes a batch durable. While the disk has no room, this replica stands still, as with a disk
-    /// that stalls: another one takes the leadership.
+    /// Makes a batch durable. Blocks while the disk is full, so that another replica is elected
+    /// leader.
     fn write(&mut self, batch: &Batch) -> Result<()> {
-        let mut told = false;
+        let mut logged = false;
         loop {
             match self.store.append(batch) {
                 Err(e @ Error::NotWritten { .. }) => {
-                    if !std::mem::replace(&mut told, true) {
+                    if !std::mem::replace(&mut logged, true) {
                         log::error!("control: {e}");
                     }
                     self.metrics.refuse("disk-full");
-                    thread::sleep(WRITE_AGAIN);
+                    thread::sleep(WRITE_RETRY_INTERVAL);
                 }
                 written => {
                     self.metrics.syncs.inc();
@@ -308,8 +314,8 @@
         }
     }
 
-    /// Tells those who wait what their entries led to. Reads wait until the index that they need is applied.
-    fn note_applied(&mut self, outcomes: Vec<Outcome>) {
+    /// Records applied entries and sends their outcomes to the callers that proposed them.
+    fn on_applied(&mut self, outcomes: Vec<Outcome>) {
         for (position, applied) in outcomes {
             self.applied = position;
             if let Some(waiter) = self.waiters.remove(&position) {
@@ -318,7 +324,7 @@
         }
     }
 
-    /// Shows where the log stands, and lets go of waiters that this replica cannot serve.
+    /// Publishes the state of the log, and fails the pending calls after a loss of leadership.
     fn publish(&mut self) {
         let standing = Standing {
             term: self.raft.term(),
@@ -327,16 +333,16 @@
             applied: self.applied.index,
             votes: self.raft.is_voter(),
         };
-        if self.led && !standing.leads {
-            self.let_go();
+        if self.was_leader && !standing.leads {
+            self.fail_pending();
         }
-        if self.led != standing.leads {
-            let word = if standing.leads { "leads" } else { "no longer leads" };
-            log::info!("control: replica {} {word} in term {}", self.raft.id(), standing.term);
+        if self.was_leader != standing.leads {
+            let change = if standing.leads { "became leader" } else { "is no longer leader" };
+            log::info!("control: replica {} {change} in term {}", self.raft.id(), standing.term);
         }
-        self.led = standing.leads;
+        self.was_leader = standing.leads;
         self.publish_group();
-        self.finish_hand_over(standing.leads);
+        self.finish_leadership_transfer(standing.leads);
         self.metrics.term.set(standing.term as i64);
         self.metrics.commit.set(self.raft.commit() as i64);
         self.metrics.leads.set(i64::from(standing.leads));
@@ -351,14 +357,14 @@
         });
     }
 
-    /// Shows where the replicas are, and how old the word of a leader with a quorum is.
+    /// Publishes the addresses of the replicas and the time of the last quorum contact.
     fn publish_group(&mut self) {
         let now = self.clock.now();
         let age = self.raft.quorum_contact(now).age();
-        let heard = age.map(|age| now.earlier(age).unwrap_or_default());
-        *self.quorum_word.write() = heard;
+        let last_contact = age.map(|age| now.earlier(age).unwrap_or_default());
+        *self.last_quorum_contact.write() = last_contact;
         if self.applied.index >= self.raft.known_commit() {
-            *self.caught_up.write() = heard;
+            *self.caught_up.write() = last_contact;
         }
         let addresses = self.raft.addresses(now);
         if *self.addresses.read() != addresses {
@@ -369,7 +375,8 @@
         }
     }
 
-    fn let_go(&mut self) {
+    /// Fails all pending proposals and reads with an unknown outcome.
+    fn fail_pending(&mut self) {
         for (_, waiter) in std::mem::take(&mut self.waiters) {
             let _ = waiter.send(Err(NoResult::Unknown));
         }
@@ -378,10 +385,10 @@
         }
     }
 
-    fn finish_hand_over(&mut self, leads: bool) {
-        let over = |since: &Instant| !leads || since.elapsed() > HAND_OVER;
-        if self.handing_over.as_ref().is_some_and(|(since, _)| over(since))
-            && let Some((_, reply)) = self.handing_over.take()
+    fn finish_leadership_transfer(&mut self, leads: bool) {
+        let is_done = |since: &Instant| !leads || since.elapsed() > LEADERSHIP_TRANSFER_TIMEOUT;
+        if self.leadership_transfer.as_ref().is_some_and(|(since, _)| is_done(since))
+            && let Some((_, reply)) = self.leadership_transfer.take()
         {
             let _ = reply.send(());
         }
--- a/crates/cherrystream-control/src/folder.rs
+++ b/crates/cherrystream-control/src/folder.rs
@@ -1,4 +1,4 @@
-//! The few file operations that the store needs, so that a test can forget what was not synced.
+//! File operations of the store, as a trait. Tests simulate a disk that loses unsynced data.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -6,23 +6,23 @@
 
 /// A folder of files.
 pub trait Folder: Send + Sized + 'static {
-    /// Returns another handle to the folder, for another thread.
+    /// Returns another handle to the same folder, for use by another thread.
     fn fork(&self) -> Self;
     /// Returns the names of the files.
     fn list(&self) -> io::Result<Vec<String>>;
     /// Returns the content of a file.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Adds bytes at the end of a file, which is made when missing.
+    /// Appends bytes to a file, and creates the file if it does not exist.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Cuts a file to a length.
+    /// Truncates a file to a length in bytes.
     fn truncate(&mut self, name: &str, len: u64) -> io::Result<()>;
     /// Makes the content of a file durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Gives a file another name.
+    /// Renames a file, replacing an existing one of the new name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes the names in the folder durable.
+    /// Makes created, renamed and removed names durable.
     fn sync_names(&mut self) -> io::Result<()>;
 }
 
@@ -34,11 +34,11 @@
 }
 
 impl DiskFolder {
-    /// Opens a folder, which is made when missing.
+    /// Opens a folder, and creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// Fails when the folder cannot be made.
+    /// Fails when the folder cannot be created.
     pub fn try_new(path: impl Into<PathBuf>) -> io::Result<DiskFolder> {
         let path = path.into();
         fs::create_dir_all(&path)?;
--- a/crates/cherrystream-control/src/founder.rs
+++ b/crates/cherrystream-control/src/founder.rs
@@ -1,43 +1,43 @@
-//! Marks a data folder as that of a founder.
+//! Marker file of a replica that may bootstrap the group.
 //!
-//! The settings say only at the very first start that the group may be founded. A founder that ends
-//! before that happened finds its folder blank but for the mark, and goes on.
+//! The settings allow the bootstrap only at the first start. The marker lets a replica that stopped
+//! before the bootstrap completed continue after a restart.
 
 use crate::errors::{self, Result};
 use crate::folder::Folder;
 
-/// Name of the mark.
-const MARK: &str = "founder";
+/// Name of the marker file.
+const MARKER_FILE: &str = "founder";
 
-/// Returns whether the folder is that of a founder.
+/// Returns whether the folder has the marker.
 ///
 /// # Errors
 ///
 /// Fails when the folder cannot be read.
 pub fn is_marked(folder: &impl Folder) -> Result<bool> {
     let names = folder.list().map_err(errors::folder("list the files"))?;
-    Ok(names.iter().any(|name| name == MARK))
+    Ok(names.iter().any(|name| name == MARKER_FILE))
 }
 
-/// Marks the folder, durably.
+/// Writes the marker durably.
 ///
 /// # Errors
 ///
-/// Fails when the folder does not take the mark.
+/// Fails when the marker cannot be written.
 pub fn mark(folder: &mut impl Folder) -> Result<()> {
-    folder.append(MARK, &[]).map_err(errors::folder("mark a founder"))?;
-    folder.sync(MARK).map_err(errors::folder("sync the mark of a founder"))?;
+    folder.append(MARKER_FILE, &[]).map_err(errors::folder("write the bootstrap marker"))?;
+    folder.sync(MARKER_FILE).map_err(errors::folder("sync the bootstrap marker"))?;
     folder.sync_names().map_err(errors::folder("sync the folder"))
 }
 
-/// Takes the mark off, if there is one; the caller syncs the folder.
+/// Removes the marker if there is one. The caller syncs the folder.
 ///
 /// # Errors
 ///
-/// Fails when the mark cannot be removed.
+/// Fails when the marker cannot be removed.
 pub fn unmark(folder: &mut impl Folder, names: &[String]) -> Result<()> {
-    if !names.iter().any(|name| name == MARK) {
+    if !names.iter().any(|name| name == MARKER_FILE) {
         return Ok(());
     }
-    folder.remove(MARK).map_err(errors::folder("take off the mark of a founder"))
+    folder.remove(MARKER_FILE).map_err(errors::folder("remove the bootstrap marker"))
 }
--- a/crates/cherrystream-control/src/reach.rs
+++ b/crates/cherrystream-control/src/reach.rs
@@ -1,4 +1,4 @@
-//! The daemons that this replica hears, and what they hold.
+//! Daemons that send heartbeats to this replica, and the revisions that they hold.
 
 use cherrystream_core::units::{DisplayRevision, Revision, Timestamp};
 use cherrystream_schema::messages::{DaemonStatus, HostRecord, SyncRequest};
@@ -6,85 +6,89 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Silence after which a daemon counts as unreachable.
-pub const SILENCE: Duration = Duration::from_secs(10);
+/// Time without a heartbeat after which a daemon is unreachable.
+pub const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Silence beyond two waits of its heartbeats after which a daemon is not named as one to fetch from.
-const HOLDER_SILENCE: Duration = Duration::from_millis(200);
+/// Time without a heartbeat, in addition to two heartbeat waits, after which a daemon is no longer
+/// offered as a source to fetch from.
+const HOLDER_GRACE: Duration = Duration::from_millis(200);
 
+/// The last heartbeat of a daemon.
 #[derive(Clone, Debug)]
-struct Heard {
+struct Heartbeat {
     record: HostRecord,
     held: Revision,
-    /// Time that its heartbeats wait for a change.
+    /// Time that a heartbeat of the daemon waits for a change.
     wait: Duration,
     at: Timestamp,
 }
 
-/// The daemons heard.
+/// The last heartbeat of each daemon, by host.
 #[derive(Debug, Default)]
 pub struct Reach {
-    heard: Mutex<BTreeMap<String, Heard>>,
+    last_heartbeats: Mutex<BTreeMap<String, Heartbeat>>,
 }
 
 impl Reach {
-    /// Notes a heartbeat.
+    /// Records a heartbeat.
     pub fn hear(&self, now: Timestamp, req: &SyncRequest) {
         let wait = Duration::from_millis(req.wait_ms);
-        let heard = Heard { record: req.record.clone(), held: req.held, wait, at: now };
-        self.heard.lock().insert(req.record.host.clone(), heard);
+        let heartbeat = Heartbeat { record: req.record.clone(), held: req.held, wait, at: now };
+        self.last_heartbeats.lock().insert(req.record.host.clone(), heartbeat);
     }
 
-    /// Returns whether the daemon of a host runs and holds a revision.
+    /// Returns whether the daemon of a host is reachable and holds at least a revision.
     pub fn is_there(&self, now: Timestamp, host: &str, revision: Revision) -> bool {
-        let heard = self.heard.lock();
-        heard.get(host).is_some_and(|heard| {
-            let silence = heard.wait + heard.wait + HOLDER_SILENCE;
-            heard.held >= revision && !heard.record.leaving && now.since(heard.at) < silence
+        let heartbeats = self.last_heartbeats.lock();
+        heartbeats.get(host).is_some_and(|heartbeat| {
+            let silence = heartbeat.wait + heartbeat.wait + HOLDER_GRACE;
+            heartbeat.held >= revision
+                && !heartbeat.record.leaving
+                && now.since(heartbeat.at) < silence
         })
     }
 
     /// Returns the peer address of the daemon of a host.
     pub fn peer_address(&self, host: &str) -> Option<String> {
-        self.heard.lock().get(host).map(|heard| heard.record.peer_address.clone())
+        self.last_heartbeats.lock().get(host).map(|last| last.record.peer_address.clone())
     }
 
-    /// Returns the daemons heard, compared with the newest revision.
+    /// Returns the status of each daemon, compared with the newest revision.
     pub fn statuses(&self, now: Timestamp, newest: Revision) -> Vec<DaemonStatus> {
-        self.heard.lock().values().map(|heard| status(now, newest, heard)).collect()
+        self.last_heartbeats.lock().values().map(|last| status(now, newest, last)).collect()
     }
 }
 
-fn status(now: Timestamp, newest: Revision, heard: &Heard) -> DaemonStatus {
-    let silence = now.since(heard.at);
-    let state = if silence > SILENCE {
+fn status(now: Timestamp, newest: Revision, last: &Heartbeat) -> DaemonStatus {
+    let silence = now.since(last.at);
+    let state = if silence > UNREACHABLE_TIMEOUT {
         "unreachable"
-    } else if heard.record.leaving {
+    } else if last.record.leaving {
         "leaving"
-    } else if heard.held < newest {
+    } else if last.held < newest {
         "behind"
     } else {
         "live"
     };
     DaemonStatus {
-        host: heard.record.host.clone(),
-        failure_domain: heard.record.failure_domain.clone(),
-        revision: DisplayRevision(heard.held).to_string(),
+        host: last.record.host.clone(),
+        failure_domain: last.record.failure_domain.clone(),
+        revision: DisplayRevision(last.held).to_string(),
         state: state.into(),
         heard_ms_ago: silence.as_millis() as u64,
     }
 }
 
-/// Joins what several replicas hear: the latest word on each daemon counts.
+/// Merges the statuses from several replicas. The most recent status of each daemon wins.
 pub fn join(all: Vec<DaemonStatus>) -> BTreeMap<String, DaemonStatus> {
-    let mut joined = BTreeMap::<String, DaemonStatus>::new();
+    let mut merged = BTreeMap::<String, DaemonStatus>::new();
     for status in all {
-        match joined.get(&status.host) {
+        match merged.get(&status.host) {
             Some(known) if known.heard_ms_ago <= status.heard_ms_ago => {}
             _ => {
-                joined.insert(status.host.clone(), status);
+                merged.insert(status.host.clone(), status);
             }
         }
     }
-    joined
+    merged
 }
--- a/crates/cherrystream-control/src/recall.rs
+++ b/crates/cherrystream-control/src/recall.rs
@@ -1,10 +1,10 @@
-//! What a data folder tells of the replica that it belongs to, before the replica runs.
+//! Reads the identity of a replica from its data folder before the replica starts.
 
 use crate::errors::{self, Result};
 use crate::folder::Folder;
 use crate::place;
 use crate::records::{Reader, Record};
-use crate::store::{file_name, number_of};
+use crate::store::{file_name, file_number};
 use cherrystream_schema::messages::Command;
 use std::collections::BTreeMap;
 
@@ -17,49 +17,49 @@
     pub disk: String,
 }
 
-/// What a folder tells of the replica that it belongs to.
+/// Identity and known addresses from a data folder.
 #[derive(Clone, Debug)]
-pub struct Recalled {
+pub struct StoredReplica {
     /// Number and disk of the replica.
     pub identity: Identity,
-    /// Addresses of all replicas as far as the log names them.
+    /// Addresses by replica number, as far as the log contains them.
     pub addresses: BTreeMap<u64, String>,
 }
 
-/// Returns whose folder it is, or `None` when it is blank.
+/// Returns the replica that the folder belongs to, or `None` when the folder is blank.
 ///
 /// # Errors
 ///
 /// Fails when the folder cannot be read.
-pub fn recall(folder: &impl Folder) -> Result<Option<Recalled>> {
+pub fn read(folder: &impl Folder) -> Result<Option<StoredReplica>> {
     let names = folder.list().map_err(errors::folder("list the files"))?;
-    let Some(number) = names.iter().filter_map(|name| number_of(name)).max() else {
+    let Some(number) = names.iter().filter_map(|name| file_number(name)).max() else {
         return Ok(None);
     };
     let name = file_name(number);
     let content = folder.read(&name).map_err(errors::folder("read the log"))?;
     let mut reader = Reader { name: &name, content: &content, offset: 0 };
-    let mut recalled = None;
+    let mut stored = None;
     while let Some(record) = reader.next_record()? {
         match record {
             Record::Disk { disk, replica } => {
                 let identity = Identity { replica, disk };
-                recalled = Some(Recalled { identity, addresses: BTreeMap::new() });
+                stored = Some(StoredReplica { identity, addresses: BTreeMap::new() });
             }
-            record => note_addresses(recalled.as_mut(), &record),
+            record => record_addresses(stored.as_mut(), &record),
         }
     }
-    Ok(recalled)
+    Ok(stored)
 }
 
-fn note_addresses(recalled: Option<&mut Recalled>, record: &Record) {
-    let Some(recalled) = recalled else { return };
+fn record_addresses(stored: Option<&mut StoredReplica>, record: &Record) {
+    let Some(stored) = stored else { return };
     let members = match record {
         Record::Snapshot(snapshot) => Some(&snapshot.members),
         Record::Entry(entry) => match &entry.command {
             Command::Found { members } => Some(members),
             Command::ReplaceDisk { replica, address: Some(address), .. } => {
-                recalled.addresses.insert(*replica, address.clone());
+                stored.addresses.insert(*replica, address.clone());
                 None
             }
             _ => None,
@@ -67,6 +67,6 @@
         _ => None,
     };
     if let Some(members) = members {
-        recalled.addresses.extend(place::by_number(&members.addresses));
+        stored.addresses.extend(place::by_number(&members.addresses));
     }
 }
--- a/crates/cherrystream-control/src/registrar.rs
+++ b/crates/cherrystream-control/src/registrar.rs
@@ -1,10 +1,10 @@
-//! Registers daemons and instances with the leader, and confirms reads, for many at a time.
+//! Registers daemons and instances with the leader, and confirms reads, in batches.
 
 use crate::handle::{Handle, NoResult};
 use crate::metrics::Metrics;
 use crate::operators::Operators;
 use crate::peers::Line;
-use crate::together::Together;
+use crate::together::CallBatcher;
 use cherrystream_net::rpc::{self, ControlRpcClient};
 use cherrystream_schema::messages::{Change, Command};
 use jsonrpsee::types::ErrorObjectOwned;
@@ -12,28 +12,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait for a leader to register a daemon with: an election. A daemon that is refused comes again at once, on a
-/// connection of its own; 300 of them kept replicas busy that had an election to hold.
-const WAIT_FOR_LEADER: Duration = Duration::from_millis(400);
+/// Longest wait for a leader, about the length of an election. A refused daemon reconnects at once,
+/// so a shorter wait would load the replicas during the election.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Registers daemons and instances.
+/// Batches registrations and reads.
 #[derive(Clone)]
 pub struct Registrar {
-    registrations: Together<Vec<Change>, Result<(), ErrorObjectOwned>>,
-    reads: Together<(), Result<(), NoResult>>,
+    registrations: CallBatcher<Vec<Change>, Result<(), ErrorObjectOwned>>,
+    reads: CallBatcher<(), Result<(), NoResult>>,
 }
 
 impl Registrar {
-    /// Starts one.
+    /// Starts the tasks that send the batches.
     pub fn start(operators: &Operators, metrics: Metrics) -> Registrar {
-        let leading =
-            Leading { handle: operators.handle.clone(), lines: operators.lines.clone(), metrics };
-        let registrations = Together::start(move |changes: Vec<Vec<Change>>| {
-            let leading = leading.clone();
-            async move { leading.share(changes.concat()).await }
+        let leader = LeaderClient {
+            handle: operators.handle.clone(),
+            lines: operators.lines.clone(),
+            metrics,
+        };
+        let registrations = CallBatcher::start(move |changes: Vec<Vec<Change>>| {
+            let leader = leader.clone();
+            async move { leader.share(changes.concat()).await }
         });
         let operators = operators.clone();
-        let reads = Together::start(move |_| {
+        let reads = CallBatcher::start(move |_| {
             let operators = operators.clone();
             async move { operators.confirm_read().await }
         });
@@ -44,32 +47,34 @@
     ///
     /// # Errors
     ///
-    /// Fails when there is no leader, or when the outcome is not known.
+    /// Fails when there is no leader, or when the outcome is unknown.
     pub async fn register(&self, changes: Vec<Change>) -> Result<(), ErrorObjectOwned> {
         let registered = self.registrations.call(changes).await;
-        registered.unwrap_or_else(|| Err(rpc::unavailable("this replica has stopped")))
+        registered.unwrap_or_else(|| {
+            Err(rpc::unavailable("this replica has stopped; send the call to another one"))
+        })
     }
 
     /// Waits until this replica has applied every change accepted before the call.
     ///
     /// # Errors
     ///
-    /// Fails when no quorum confirms that.
+    /// Fails when no quorum confirms the read.
     pub async fn confirm_read(&self) -> Result<(), NoResult> {
         self.reads.call(()).await.unwrap_or(Err(NoResult::Unknown))
     }
 }
 
-/// The way to the leader, which may be this replica.
+/// Sends changes to the leader, which may be this replica.
 #[derive(Clone)]
-struct Leading {
+struct LeaderClient {
     handle: Handle,
     lines: Arc<BTreeMap<u64, Arc<Line>>>,
     metrics: Metrics,
 }
 
-impl Leading {
-    /// Has the leader record changes. One that is no longer the leader is not waited for.
+impl LeaderClient {
+    /// Commits changes through the leader. Fails at once when the leader changes.
     async fn share(&self, changes: Vec<Change>) -> Result<(), ErrorObjectOwned> {
         let leader = self.known_leader().await;
         let mut standing = self.handle.standing.clone();
@@ -85,7 +90,7 @@
     async fn known_leader(&self) -> Option<u64> {
         let mut standing = self.handle.standing.clone();
         let known = standing.wait_for(|standing| standing.leader.is_some());
-        match tokio::time::timeout(WAIT_FOR_LEADER, known).await {
+        match tokio::time::timeout(LEADER_TIMEOUT, known).await {
             Ok(Ok(standing)) => standing.leader,
             _ => None,
         }
--- a/crates/cherrystream-control/src/release.rs
+++ b/crates/cherrystream-control/src/release.rs
@@ -1,4 +1,4 @@
-//! Tells the open heartbeats of daemons of changes, those that come together at one moment.
+//! Announces new revisions to the open heartbeats of daemons, with changes grouped into batches.
 
 use crate::handle::Handle;
 use cherrystream_core::distribution::BatchSchedule;
@@ -6,7 +6,7 @@
 use tokio::sync::watch;
 use tokio::task;
 
-/// Starts to watch the state, and returns the revision that daemons may be told of.
+/// Starts to watch the state. Returns a receiver of the newest revision that daemons may fetch.
 pub fn start(handle: Handle) -> watch::Receiver<Revision> {
     let (tx, rx) = watch::channel(Revision::default());
     task::spawn(run(handle, tx));
--- a/crates/cherrystream-control/src/standby.rs
+++ b/crates/cherrystream-control/src/standby.rs
@@ -1,6 +1,6 @@
-//! A control replica without a place: it stands by, and tells whoever asks where the members are.
+//! A standby: a control replica without a member slot. It returns the addresses of members.
 //!
-//! The seeds of a host that starts may all be hosts that stand by.
+//! A joining host reaches the members through a standby when all its seeds are standbys.
 
 use cherrystream_core::units::Revision;
 use cherrystream_net::rpc::{self, ControlRpcServer};
@@ -13,22 +13,23 @@
 use parking_lot::RwLock;
 use std::sync::Arc;
 
-/// Why a replica that stands by does nothing for a caller.
-const NO_PLACE: &str = "this replica stands by without a place in the group";
+/// Error message of a standby for calls that need a member.
+const NOT_A_MEMBER: &str =
+    "this replica is a standby without a member slot; send the call to a member of the group";
 
-/// Addresses that a replica without a place knows.
+/// Addresses that a standby has learned.
 #[derive(Clone, Debug)]
 pub struct Standby {
     known: Arc<RwLock<Vec<String>>>,
 }
 
 impl Standby {
-    /// Creates one that knows the seeds.
+    /// Creates a standby whose initial addresses are the seeds.
     pub fn new(seeds: Vec<String>) -> Standby {
         Standby { known: Arc::new(RwLock::new(seeds)) }
     }
 
-    /// Notes addresses of members: the seeds may be down or gone.
+    /// Records addresses of members, because the seeds may be down or removed.
     pub fn learn(&self, addresses: impl Iterator<Item = String>) {
         let mut known = self.known.write();
         for address in addresses {
@@ -38,15 +39,15 @@
         }
     }
 
-    /// Returns the addresses that are known.
+    /// Returns all recorded addresses.
     pub fn known(&self) -> Vec<String> {
         self.known.read().clone()
     }
 
-    /// Returns the address whose turn it is.
-    pub fn address(&self, turn: usize) -> String {
+    /// Returns the address for an attempt, in round-robin order.
+    pub fn address(&self, attempt: usize) -> String {
         let known = self.known.read();
-        known.get(turn % known.len().max(1)).cloned().unwrap_or_default()
+        known.get(attempt % known.len().max(1)).cloned().unwrap_or_default()
     }
 
     fn sync_reply(&self) -> SyncReply {
@@ -55,7 +56,7 @@
             update: None,
             offer: None,
             instance: None,
-            // It has no word from a quorum, so daemons leave it for those that it names.
+            // A standby has no quorum contact, so daemons switch to the replicas listed here.
             state_age_ms: u64::MAX,
             control: self.known().into_iter().map(without_domain).collect(),
             failure_domain: None,
@@ -63,7 +64,7 @@
     }
 }
 
-/// What is known of a replica that was told by its address only.
+/// Returns a replica with an unknown failure domain.
 fn without_domain(address: String) -> ReplicaAddress {
     ReplicaAddress { address, failure_domain: None }
 }
@@ -71,7 +72,7 @@
 #[async_trait]
 impl ControlRpcServer for Standby {
     async fn raft(&self, _messages: Vec<RaftMessage>) -> RpcResult<()> {
-        Err(rpc::unavailable(NO_PLACE))
+        Err(rpc::unavailable(NOT_A_MEMBER))
     }
 
     async fn sync(&self, _req: SyncRequest) -> RpcResult<SyncReply> {
@@ -79,26 +80,26 @@
     }
 
     async fn claim(&self, _req: ClaimRequest) -> RpcResult<ClaimReply> {
-        Err(rpc::unavailable(NO_PLACE))
+        Err(rpc::unavailable(NOT_A_MEMBER))
     }
 
     async fn release(&self, _req: ReleaseRequest) -> RpcResult<()> {
-        Err(rpc::unavailable(NO_PLACE))
+        Err(rpc::unavailable(NOT_A_MEMBER))
     }
 
     async fn operator(&self, _call: OperatorCall) -> RpcResult<OperatorAnswer> {
-        Err(rpc::unavailable(NO_PLACE))
+        Err(rpc::unavailable(NOT_A_MEMBER))
     }
 
     async fn read_index(&self) -> RpcResult<u64> {
-        Err(rpc::unavailable(NO_PLACE))
+        Err(rpc::unavailable(NOT_A_MEMBER))
     }
 
     async fn reach(&self) -> RpcResult<Vec<DaemonStatus>> {
         Ok(Vec::new())
     }
 
-    /// Gives no place, but tells the addresses that are known.
+    /// Grants no member slot, but returns the recorded addresses.
     async fn join(&self, _req: JoinRequest) -> RpcResult<JoinReply> {
         let known = self.known().into_iter().enumerate();
         let addresses = known.map(|(i, address)| (i.to_string(), address)).collect();
@@ -106,7 +107,7 @@
     }
 
     async fn replace_routes(&self, _number: u64, _packed: String) -> RpcResult<RouteOrderReply> {
-        Err(rpc::unavailable(NO_PLACE))
+        Err(rpc::unavailable(NOT_A_MEMBER))
     }
 
     async fn patch_routes(
@@ -115,22 +116,22 @@
         _number: u64,
         _packed: String,
     ) -> RpcResult<RouteOrderReply> {
-        Err(rpc::unavailable(NO_PLACE))
+        Err(rpc::unavailable(NOT_A_MEMBER))
     }
 
     async fn share(&self, _changes: Vec<Change>) -> RpcResult<()> {
-        Err(rpc::unavailable(NO_PLACE))
+        Err(rpc::unavailable(NOT_A_MEMBER))
     }
 
-    async fn tally(&self, _words: Vec<HostTally>) -> RpcResult<()> {
-        Err(rpc::unavailable(NO_PLACE))
+    async fn tally(&self, _counts: Vec<HostTally>) -> RpcResult<()> {
+        Err(rpc::unavailable(NOT_A_MEMBER))
     }
 
     async fn piece(&self, _piece: Piece) -> RpcResult<PieceReply> {
-        Err(rpc::unavailable(NO_PLACE))
+        Err(rpc::unavailable(NOT_A_MEMBER))
     }
 
     async fn chunk(&self, _req: ChunkRequest) -> RpcResult<ChunkReply> {
-        Err(rpc::unavailable(NO_PLACE))
+        Err(rpc::unavailable(NOT_A_MEMBER))
     }
 }
--- a/crates/cherrystream-control/src/store.rs
+++ b/crates/cherrystream-control/src/store.rs
@@ -1,8 +1,8 @@
-//! The log, hard state and snapshot of a replica in one file of checked records.
+//! The log, hard state and snapshot of a replica, in one file of records with checksums.
 //!
-//! Records are appended and synced before anything is acknowledged. A snapshot is the first
-//! record of a new file that takes the old one's place by a rename. The disk identifier stands
-//! in the same file, so that it cannot outlive what it vouches for.
+//! Records are appended and synced before anything is acknowledged. A snapshot starts a new file,
+//! which replaces the old one by a rename. The disk identifier is in the same file, so that it is
+//! lost together with the data that it identifies.
 
 use crate::errors::{self, Error, Result};
 use crate::folder::Folder;
@@ -11,23 +11,23 @@
 use cherrystream_core::raft::Restored;
 use cherrystream_schema::messages::{Entry, HardState, Snapshot};
 
-/// Beginning of the names of log files.
-const PREFIX: &str = "log-";
-/// Put before the names of log files whose replica lost its place.
-const SET_ASIDE: &str = "aside-";
-/// End of the name of a file that is not complete yet.
-const UNFINISHED: &str = ".new";
+/// Prefix of the names of log files.
+const LOG_PREFIX: &str = "log-";
+/// Prefix for the log files of a replica that lost its member slot.
+const ASIDE_PREFIX: &str = "aside-";
+/// Suffix of the name of an incomplete file.
+const UNFINISHED_SUFFIX: &str = ".new";
 
-/// What to make durable in one go.
+/// Records to make durable with one sync.
 #[derive(Debug, Default)]
 pub struct Batch<'a> {
-    /// Entries.
+    /// Entries to append.
     pub entries: &'a [Entry],
-    /// Hard state; it speaks of the entries before it.
+    /// Hard state, written after the entries that it refers to.
     pub hard: Option<&'a HardState>,
 }
 
-/// A store in a folder.
+/// The durable state of a replica in a folder.
 pub struct Store<F> {
     folder: F,
     disk: String,
@@ -37,48 +37,48 @@
     buf: Vec<u8>,
 }
 
-/// What a folder held.
+/// State recovered from a folder.
 #[derive(Debug, Default)]
-pub struct Found {
+pub struct Recovery {
     /// State to restore.
     pub restored: Restored,
-    /// Bytes of an unfinished last write that were cut off.
+    /// Truncated bytes of an incomplete last write.
     pub torn_bytes: u64,
 }
 
 impl<F: Folder> Store<F> {
-    /// Opens the store of a replica; `new_disk` names the disk if the folder is blank.
+    /// Opens the store of a replica. `new_disk` becomes the disk identifier if the folder is blank.
     ///
     /// # Errors
     ///
-    /// Fails when the folder cannot be used, belongs to another replica or holds what cannot be
-    /// read. Nothing is dropped then.
-    pub fn open(mut folder: F, replica: u64, new_disk: &str) -> Result<(Store<F>, Found)> {
+    /// Fails when the folder cannot be used, belongs to another replica or contains unreadable
+    /// data. No log data is removed in these cases.
+    pub fn open(mut folder: F, replica: u64, new_disk: &str) -> Result<(Store<F>, Recovery)> {
         let names = folder.list().map_err(errors::folder("list the files"))?;
-        for name in names.iter().filter(|n| n.ends_with(UNFINISHED)) {
+        for name in names.iter().filter(|n| n.ends_with(UNFINISHED_SUFFIX)) {
             folder.remove(name).map_err(errors::folder("remove an unfinished file"))?;
         }
-        let mut numbers: Vec<u64> = names.iter().filter_map(|name| number_of(name)).collect();
+        let mut numbers: Vec<u64> = names.iter().filter_map(|name| file_number(name)).collect();
         numbers.sort_unstable();
         let Some(number) = numbers.pop() else {
             return Store::create(folder, replica, new_disk);
         };
         let mut store =
             Store { folder, disk: String::new(), replica, number, bytes: 0, buf: Vec::new() };
-        let found = store.recover()?;
+        let recovered = store.recover()?;
         for old in numbers {
             store.remove_file(old)?;
         }
-        Ok((store, found))
+        Ok((store, recovered))
     }
 
-    fn create(folder: F, replica: u64, disk: &str) -> Result<(Store<F>, Found)> {
+    fn create(folder: F, replica: u64, disk: &str) -> Result<(Store<F>, Recovery)> {
         let disk = disk.into();
         let mut store = Store { folder, disk, replica, number: 0, bytes: 0, buf: Vec::new() };
-        let written = store.begin_replace().write_blank()?;
+        let written = store.begin_replace().write_empty()?;
         let hard = HardState { term: 0, voted_for: None, commit: 0 };
         store.finish_replace(written, &hard, &[])?;
-        Ok((store, Found::default()))
+        Ok((store, Recovery::default()))
     }
 
     /// Returns the disk identifier.
@@ -86,7 +86,7 @@
         &self.disk
     }
 
-    /// Returns the bytes of the file.
+    /// Returns the size of the file in bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
@@ -95,9 +95,9 @@
     ///
     /// # Errors
     ///
-    /// Fails with [`Error::NotWritten`] when the write finds no room: the file is as before, and the
-    /// same batch may be tried again. Fails otherwise when the disk does; the caller must then
-    /// stop, for nothing is known of the file.
+    /// Fails with [`Error::NotWritten`] when the write fails, for example on a full disk: the file
+    /// is unchanged, and the same batch may be retried. After any other error the content of the
+    /// file is undefined, and the caller must stop.
     pub fn append(&mut self, batch: &Batch) -> Result<()> {
         if batch.hard.is_none() && batch.entries.is_empty() {
             return Ok(());
@@ -111,9 +111,9 @@
         }
         let name = file_name(self.number);
         if let Err(source) = self.folder.append(&name, &self.buf) {
-            // What a failed write left behind must not stand before the next one.
+            // Removes the partial data of the failed write.
             let cut = self.folder.truncate(&name, self.bytes);
-            cut.map_err(errors::folder("cut off a failed write"))?;
+            cut.map_err(errors::folder("truncate a failed write"))?;
             return Err(Error::NotWritten { source });
         }
         self.folder.sync(&name).map_err(errors::folder("sync the log"))?;
@@ -121,7 +121,7 @@
         Ok(())
     }
 
-    /// Puts a snapshot and the entries after it in place of the file.
+    /// Replaces the file by a snapshot and the entries after it.
     ///
     /// # Errors
     ///
@@ -136,29 +136,28 @@
         self.finish_replace(written, hard, entries)
     }
 
-    /// Sets the log files aside under other names, so that the folder counts as that of a new disk. Those
-    /// that were set aside before are removed: one generation is kept, for people to look at.
+    /// Renames the log files, so that the folder is treated as a new disk. Keeps one generation for
+    /// inspection and removes older ones.
     ///
     /// # Errors
     ///
     /// Fails when the disk does.
     pub fn set_aside(&mut self) -> Result<()> {
         let names = self.folder.list().map_err(errors::folder("list the files"))?;
-        for name in names.iter().filter(|name| name.starts_with(SET_ASIDE)) {
+        for name in names.iter().filter(|name| name.starts_with(ASIDE_PREFIX)) {
             self.folder.remove(name).map_err(errors::folder("remove a file"))?;
         }
-        // Whoever comes in another's place founds nothing.
+        // A replica that joins an existing group must not bootstrap one.
         founder::unmark(&mut self.folder, &names)?;
-        for name in names.iter().filter(|name| number_of(name).is_some()) {
-            let aside = format!("{SET_ASIDE}{name}");
+        for name in names.iter().filter(|name| file_number(name).is_some()) {
+            let aside = format!("{ASIDE_PREFIX}{name}");
             self.folder.rename(name, &aside).map_err(errors::folder("rename a file"))?;
-            log::warn!("control: the log of a place that was lost is kept as {aside}");
+            log::warn!("control: the log of the lost member slot is kept as {aside}");
         }
         self.folder.sync_names().map_err(errors::folder("sync the folder"))
     }
 
-    /// Prepares a new file, whose long part can be written by another thread while this store
-    /// goes on.
+    /// Prepares a new file. Another thread can write its snapshot while this store stays in use.
     pub fn begin_replace(&self) -> Replacement<F> {
         Replacement {
             folder: self.folder.fork(),
@@ -167,8 +166,8 @@
         }
     }
 
-    /// Adds what came after the snapshot to a new file, and puts it in place of the old one. The
-    /// rename makes it count.
+    /// Appends the records after the snapshot to the new file, and replaces the old file by a
+    /// rename.
     ///
     /// # Errors
     ///
@@ -185,7 +184,7 @@
         }
         encode(&Record::Hard(hard.clone()), &mut buf);
         let name = file_name(self.number + 1);
-        let unfinished = format!("{name}{UNFINISHED}");
+        let unfinished = format!("{name}{UNFINISHED_SUFFIX}");
         self.folder.append(&unfinished, &buf).map_err(errors::folder("write a new file"))?;
         self.folder.sync(&unfinished).map_err(errors::folder("sync a new file"))?;
         self.folder.rename(&unfinished, &name).map_err(errors::folder("rename a file"))?;
@@ -200,30 +199,32 @@
         self.folder.remove(&file_name(number)).map_err(errors::folder("remove an old file"))
     }
 
-    fn recover(&mut self) -> Result<Found> {
+    fn recover(&mut self) -> Result<Recovery> {
         let name = file_name(self.number);
         let content = self.folder.read(&name).map_err(errors::folder("read the log"))?;
         let mut reader = Reader { name: &name, content: &content, offset: 0 };
-        let mut found = Found::default();
+        let mut recovered = Recovery::default();
         let mut first = true;
         while let Some(record) = reader.next_record()? {
-            self.take_record(&name, reader.offset, record, first, &mut found.restored)?;
+            self.restore_record(&name, reader.offset, record, first, &mut recovered.restored)?;
             first = false;
         }
         if first {
-            return errors::unreadable(&name, 0, "it holds no record");
+            return errors::unreadable(&name, 0, "the file contains no record");
         }
         self.bytes = reader.offset as u64;
-        found.torn_bytes = (content.len() - reader.offset) as u64;
-        if found.torn_bytes > 0 {
+        recovered.torn_bytes = (content.len() - reader.offset) as u64;
+        if recovered.torn_bytes > 0 {
             let bytes = self.bytes;
-            self.folder.truncate(&name, bytes).map_err(errors::folder("cut off a torn write"))?;
+            self.folder
+                .truncate(&name, bytes)
+                .map_err(errors::folder("truncate an incomplete write"))?;
             self.folder.sync(&name).map_err(errors::folder("sync the log"))?;
         }
-        Ok(found)
+        Ok(recovered)
     }
 
-    fn take_record(
+    fn restore_record(
         &mut self,
         name: &str,
         offset: usize,
@@ -240,21 +241,21 @@
             }
             Record::Snapshot(snapshot) if !first => restored.snapshot = Some(snapshot),
             Record::Hard(hard) if !first => restored.hard = Some(hard),
-            Record::Entry(entry) if !first => return take_entry(name, offset, *entry, restored),
-            _ => return errors::unreadable(name, offset as u64, "a record is out of place"),
+            Record::Entry(entry) if !first => return restore_entry(name, offset, *entry, restored),
+            _ => return errors::unreadable(name, offset as u64, "a record is misplaced"),
         }
         Ok(())
     }
 }
 
-/// A new file that is not complete yet.
+/// A new file that is still incomplete.
 pub struct Replacement<F> {
     folder: F,
     name: String,
     disk: Record,
 }
 
-/// A new file that holds its snapshot.
+/// A new file whose snapshot is written.
 pub struct Written {
     bytes: u64,
 }
@@ -269,7 +270,7 @@
         self.write_records(Some(snapshot))
     }
 
-    fn write_blank(self) -> Result<Written> {
+    fn write_empty(self) -> Result<Written> {
         self.write_records(None)
     }
 
@@ -279,8 +280,8 @@
         if let Some(snapshot) = snapshot {
             encode(&Record::Snapshot(snapshot.clone()), &mut buf);
         }
-        let unfinished = format!("{}{UNFINISHED}", self.name);
-        // A replacement that was given up may have left a file.
+        let unfinished = format!("{}{UNFINISHED_SUFFIX}", self.name);
+        // An abandoned replacement may have left a file.
         if self.folder.list().is_ok_and(|names| names.contains(&unfinished)) {
             self.folder.remove(&unfinished).map_err(errors::folder("remove an unfinished file"))?;
         }
@@ -290,24 +291,26 @@
     }
 }
 
-/// Puts an entry in its place; it replaces what stood there and after.
-fn take_entry(name: &str, offset: usize, entry: Entry, restored: &mut Restored) -> Result<()> {
+/// Adds an entry at its index, and discards the entries at that index and after it.
+fn restore_entry(name: &str, offset: usize, entry: Entry, restored: &mut Restored) -> Result<()> {
     let base = restored.snapshot.as_ref().map_or(0, |s| s.index);
-    let place = entry.index.checked_sub(base + 1).map(|place| place as usize);
-    match place {
-        Some(place) if place <= restored.entries.len() => {
-            restored.entries.truncate(place);
+    let offset_in_log = entry.index.checked_sub(base + 1).map(|offset| offset as usize);
+    match offset_in_log {
+        Some(at) if at <= restored.entries.len() => {
+            restored.entries.truncate(at);
             restored.entries.push(entry);
             Ok(())
         }
-        _ => errors::unreadable(name, offset as u64, "an entry is missing"),
+        _ => errors::unreadable(name, offset as u64, "an entry before this one is missing"),
     }
 }
 
+/// Returns the name of the log file with a number.
 pub(crate) fn file_name(number: u64) -> String {
-    format!("{PREFIX}{number}")
+    format!("{LOG_PREFIX}{number}")
 }
 
-pub(crate) fn number_of(name: &str) -> Option<u64> {
-    name.strip_prefix(PREFIX)?.parse().ok()
+/// Returns the number of a log file, or `None` for any other file.
+pub(crate) fn file_number(name: &str) -> Option<u64> {
+    name.strip_prefix(LOG_PREFIX)?.parse().ok()
 }
--- a/crates/cherrystream-control/src/together.rs
+++ b/crates/cherrystream-control/src/together.rs
@@ -1,44 +1,45 @@
-//! Calls that come while another one is under way go together, as one call after it.
+//! Batches concurrent calls: those that arrive while one is in flight form the next call.
 //!
-//! Load: 300 daemons that come back at once after a loss of power, on replicas with a seventh of a core. One by one,
-//! each costs the leader two calls and an entry of the log.
+//! Many daemons may register at once, for example after a power failure. Without batches, each
+//! would cost the leader two calls and a log entry.
 
 use std::future::Future;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task;
 
-/// Items in one call at most: some 100 KB of registrations.
-const AT_ONCE: usize = 256;
+/// Largest number of items in one call. Bounds the size of a message.
+const MAX_BATCH_ITEMS: usize = 256;
 
-type Waiting<T, R> = (T, oneshot::Sender<R>);
+type Pending<T, R> = (T, oneshot::Sender<R>);
 
-/// A way to make calls together.
-pub struct Together<T, R> {
-    tx: mpsc::UnboundedSender<Waiting<T, R>>,
+/// Sends items in batches, with one call in flight at a time.
+pub struct CallBatcher<T, R> {
+    tx: mpsc::UnboundedSender<Pending<T, R>>,
 }
 
-impl<T, R> Clone for Together<T, R> {
+impl<T, R> Clone for CallBatcher<T, R> {
     fn clone(&self) -> Self {
-        Together { tx: self.tx.clone() }
+        CallBatcher { tx: self.tx.clone() }
     }
 }
 
-impl<T, R> Together<T, R>
+impl<T, R> CallBatcher<T, R>
 where
     T: Send + 'static,
     R: Clone + Send + 'static,
 {
-    /// Starts to make calls with `work`, which is given what is to be called for, in its order.
-    pub fn start<F>(work: impl Fn(Vec<T>) -> F + Send + 'static) -> Together<T, R>
+    /// Starts the task that calls `work` with the items of each batch, in order of arrival.
+    pub fn start<F>(work: impl Fn(Vec<T>) -> F + Send + 'static) -> CallBatcher<T, R>
     where
         F: Future<Output = R> + Send + 'static,
     {
         let (tx, rx) = mpsc::unbounded_channel();
         task::spawn(run(rx, work));
-        Together { tx }
+        CallBatcher { tx }
     }
 
-    /// Makes a call, with whatever else waits; returns `None` only when the process ends.
+    /// Adds an item to the next batch and returns the result of its call. Returns `None` only when
+    /// the process ends.
     pub async fn call(&self, item: T) -> Option<R> {
         let (tx, rx) = oneshot::channel();
         self.tx.send((item, tx)).ok()?;
@@ -47,14 +48,14 @@
 }
 
 async fn run<T, R: Clone, F: Future<Output = R>>(
-    mut rx: mpsc::UnboundedReceiver<Waiting<T, R>>,
+    mut rx: mpsc::UnboundedReceiver<Pending<T, R>>,
     work: impl Fn(Vec<T>) -> F,
 ) {
-    let mut waiting = Vec::new();
-    while rx.recv_many(&mut waiting, AT_ONCE).await > 0 {
-        // Nobody waits any more for what was given up meanwhile.
-        waiting.retain(|(_, reply)| !reply.is_closed());
-        let (items, replies): (Vec<T>, Vec<_>) = waiting.drain(..).unzip();
+    let mut pending = Vec::new();
+    while rx.recv_many(&mut pending, MAX_BATCH_ITEMS).await > 0 {
+        // Discards the items of cancelled calls.
+        pending.retain(|(_, reply)| !reply.is_closed());
+        let (items, replies): (Vec<T>, Vec<_>) = pending.drain(..).unzip();
         if items.is_empty() {
             continue;
         }
--- a/crates/cherrystream-control/tests/arrivals.rs
+++ b/crates/cherrystream-control/tests/arrivals.rs
@@ -1,6 +1,6 @@
 //! Long messages that arrive in pieces.
 
-use cherrystream_control::arrivals::{ArrivalFault, Arrivals};
+use cherrystream_control::arrivals::{Arrivals, TransferError};
 use cherrystream_control::handle::Event;
 use cherrystream_core::transfer::{self, Sending};
 use cherrystream_core::units::Timestamp;
@@ -64,10 +64,10 @@
     let nonsense = piece(b"nonsense".to_vec(), 3);
     for _ in 0..2 {
         let refused = arrivals.take(NOW, nonsense.clone()).await;
-        assert!(matches!(refused, Err(ArrivalFault::Message { .. })), "{refused:?}");
+        assert!(matches!(refused, Err(TransferError::Message { .. })), "{refused:?}");
     }
     let of_another = piece(transfer::pack(&message(9)), 3);
     let refused = arrivals.take(NOW, of_another).await;
-    assert!(matches!(refused, Err(ArrivalFault::Sender)), "{refused:?}");
+    assert!(matches!(refused, Err(TransferError::Sender)), "{refused:?}");
     assert!(rx.try_recv().is_err());
 }
--- a/crates/cherrystream-control/tests/place.rs
+++ b/crates/cherrystream-control/tests/place.rs
@@ -29,11 +29,11 @@
 async fn a_founder_that_ends_before_the_group_is_founded_may_still_found_it() {
     let folder = tempfile::tempdir().unwrap();
     let first = find(folder.path(), true).await;
-    assert!(first.may_found);
+    assert!(first.may_bootstrap);
     let disk = DiskFolder::try_new(folder.path()).unwrap();
     let (mut store, _) = Store::open(disk, 1, &first.identity.disk).unwrap();
     let again = find(folder.path(), false).await;
-    assert!(again.may_found);
+    assert!(again.may_bootstrap);
     assert_eq!(again.identity, first.identity);
     store.set_aside().unwrap();
     let disk = DiskFolder::try_new(folder.path()).unwrap();
@@ -46,5 +46,5 @@
     let folder = tempfile::tempdir().unwrap();
     let disk = DiskFolder::try_new(folder.path()).unwrap();
     Store::open(disk, 1, "joined").unwrap();
-    assert!(!find(folder.path(), false).await.may_found);
+    assert!(!find(folder.path(), false).await.may_bootstrap);
 }
--- a/crates/cherrystream-control/tests/store.rs
+++ b/crates/cherrystream-control/tests/store.rs
@@ -2,7 +2,7 @@
 
 use cherrystream_control::errors::Error;
 use cherrystream_control::folder::Folder;
-use cherrystream_control::store::{Batch, Found, Store};
+use cherrystream_control::store::{Batch, Recovery, Store};
 use cherrystream_schema::messages::{Command, Entry, HardState, Members, Snapshot};
 use std::collections::BTreeMap;
 use std::io;
@@ -184,7 +184,7 @@
 }
 
 /// Returns the term and index of the last entry or snapshot, and whether all between is there.
-fn last_of(found: &Found) -> (u64, u64) {
+fn last_of(found: &Recovery) -> (u64, u64) {
     let base = found.restored.snapshot.as_ref().map_or(0, |s| s.index);
     for (place, entry) in found.restored.entries.iter().enumerate() {
         assert_eq!(entry.index, base + 1 + place as u64, "an entry is missing");
--- a/crates/cherrystream-control/tests/together.rs
+++ b/crates/cherrystream-control/tests/together.rs
@@ -1,6 +1,6 @@
 //! Calls that go together.
 
-use cherrystream_control::together::Together;
+use cherrystream_control::together::CallBatcher;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
@@ -11,7 +11,7 @@
 async fn what_comes_while_a_call_is_under_way_goes_with_the_next_one() {
     let calls = Arc::new(AtomicUsize::new(0));
     let counted = calls.clone();
-    let together = Together::start(move |items: Vec<usize>| {
+    let together = CallBatcher::start(move |items: Vec<usize>| {
         counted.fetch_add(1, Ordering::Relaxed);
         async move {
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -35,7 +35,7 @@
 async fn a_call_under_way_answers_nobody_who_comes_later() {
     let begun = Arc::new(AtomicUsize::new(0));
     let counted = begun.clone();
-    let together = Together::start(move |_: Vec<()>| {
+    let together = CallBatcher::start(move |_: Vec<()>| {
         let number = counted.fetch_add(1, Ordering::Relaxed);
         async move {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -55,7 +55,7 @@
 async fn what_was_given_up_is_not_called_for() {
     let (begun, most) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
     let (counted, seen) = (begun.clone(), most.clone());
-    let together = Together::start(move |items: Vec<u32>| {
+    let together = CallBatcher::start(move |items: Vec<u32>| {
         counted.fetch_add(1, Ordering::Relaxed);
         seen.fetch_max(items.len(), Ordering::Relaxed);
         tokio::time::sleep(Duration::from_millis(20))
