--- a/crates/cherrystream-control/tests/arrivals.rs
+++ b/crates/cherrystream-control/tests/arrivals.rs
@@ -1,4 +1,4 @@
-//! Long messages that arrive in pieces.
+//! Receipt of long messages that are transferred in pieces.
 
 use cherrystream_control::arrivals::{Arrivals, TransferError};
 use cherrystream_control::handle::Event;
@@ -11,15 +11,15 @@
 use std::time::Duration;
 
 const NOW: Timestamp = Timestamp(0);
-/// Longest wait for a message that must come.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait for an expected message.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn message(from: u64) -> RaftMessage {
     let body = RaftBody::AppendReply { success: true, match_index: 5, round: 6 };
     RaftMessage { from, to: 2, disk: "a".into(), term: 3, body }
 }
 
-/// Returns a transfer of one piece, sent by replica 1 in a term.
+/// Returns a transfer in a single piece, sent by replica 1 in a term.
 fn piece(content: Vec<u8>, term: u64) -> Piece {
     Sending::new(1, 7, content, NOW).piece(1 << 20, term)
 }
@@ -29,45 +29,49 @@
     (Arrivals::new(tx), rx)
 }
 
-fn handed_on(rx: &Receiver<Event>) -> Vec<RaftMessage> {
-    match rx.recv_timeout(PATIENCE) {
+fn delivered(rx: &Receiver<Event>) -> Vec<RaftMessage> {
+    match rx.recv_timeout(TIMEOUT) {
         Ok(Event::Messages(messages)) => messages,
-        _ => panic!("no message was handed on"),
+        _ => panic!("no message was delivered"),
     }
 }
 
+/// Guards against delivery with the term at the start of the transfer, which may be outdated.
 #[tokio::test]
-async fn a_whole_message_is_handed_on_in_the_term_of_its_last_piece() {
+async fn a_complete_message_is_delivered_in_the_term_of_its_last_piece() {
     let (arrivals, rx) = arrivals();
     let piece = piece(transfer::pack(&message(1)), 4);
     assert_eq!(arrivals.take(NOW, piece.clone()).await.unwrap(), piece.total);
-    assert_eq!(handed_on(&rx), vec![RaftMessage { term: 4, ..message(1) }]);
+    assert_eq!(delivered(&rx), vec![RaftMessage { term: 4, ..message(1) }]);
 }
 
-/// The connection may break while the message is read. The next call tells the sender that all is held.
+/// Guards against a lost message when the connection breaks during decoding. The next call reports
+/// the message as received.
 #[tokio::test]
-async fn a_whole_message_is_handed_on_though_its_call_is_cancelled() {
+async fn a_complete_message_is_delivered_after_its_call_is_cancelled() {
     let (arrivals, rx) = arrivals();
     let piece = piece(transfer::pack(&message(1)), 3);
     {
         let mut call = Box::pin(arrivals.take(NOW, piece.clone()));
-        let first = future::poll_fn(|cx| Poll::Ready(call.as_mut().poll(cx).is_pending())).await;
-        assert!(first, "reading is another thread's work");
+        let is_pending =
+            future::poll_fn(|cx| Poll::Ready(call.as_mut().poll(cx).is_pending())).await;
+        assert!(is_pending, "another thread decodes the message");
     }
     assert_eq!(arrivals.take(NOW, piece.clone()).await.unwrap(), piece.total);
-    assert_eq!(handed_on(&rx), vec![message(1)]);
+    assert_eq!(delivered(&rx), vec![message(1)]);
 }
 
+/// Guards against delivery of undecodable content and of messages with a forged sender.
 #[tokio::test]
-async fn what_is_no_message_is_refused_and_forgotten() {
+async fn an_invalid_message_is_rejected_and_discarded() {
     let (arrivals, rx) = arrivals();
-    let nonsense = piece(b"nonsense".to_vec(), 3);
+    let malformed = piece(b"nonsense".to_vec(), 3);
     for _ in 0..2 {
-        let refused = arrivals.take(NOW, nonsense.clone()).await;
-        assert!(matches!(refused, Err(TransferError::Message { .. })), "{refused:?}");
+        let rejected = arrivals.take(NOW, malformed.clone()).await;
+        assert!(matches!(rejected, Err(TransferError::Message { .. })), "{rejected:?}");
     }
-    let of_another = piece(transfer::pack(&message(9)), 3);
-    let refused = arrivals.take(NOW, of_another).await;
-    assert!(matches!(refused, Err(TransferError::Sender)), "{refused:?}");
+    let other_sender = piece(transfer::pack(&message(9)), 3);
+    let rejected = arrivals.take(NOW, other_sender).await;
+    assert!(matches!(rejected, Err(TransferError::Sender)), "{rejected:?}");
     assert!(rx.try_recv().is_err());
 }
--- a/crates/cherrystream-control/tests/backlog.rs
+++ b/crates/cherrystream-control/tests/backlog.rs
@@ -1,4 +1,4 @@
-//! Committed entries that wait to be applied.
+//! Order and skipping of committed entries that are not yet applied.
 
 mod support;
 
@@ -46,8 +46,9 @@
     state
 }
 
+/// Guards against a slice that makes no progress or loses entries.
 #[test]
-fn a_slice_applies_one_entry_at_least_and_keeps_the_rest() {
+fn a_slice_applies_at_least_one_entry_and_keeps_the_rest() {
     let mut backlog = Backlog::default();
     backlog.extend((1..=5).map(host).collect());
     let mut state = ControlState::default();
@@ -60,8 +61,9 @@
     assert!(backlog.is_empty());
 }
 
+/// Guards against a state that depends on which tables were skipped.
 #[test]
-fn tables_that_are_passed_over_leave_the_same_state() {
+fn skipped_tables_leave_the_same_state() {
     let mut entries = tables(1, &[1, 2, 3, 9, 4, 5, 6, 7, 8, 20, 19, 10]);
     entries.push(host(13));
     let mut state = ControlState::default();
@@ -72,21 +74,22 @@
     assert_eq!(state.revision(), expected.revision());
 }
 
-/// A daemon that knows one of the tables that were passed over must not keep its routes.
+/// Guards against a daemon that keeps the routes of a skipped table.
 #[test]
-fn a_daemon_that_holds_a_table_that_was_passed_over_gets_the_whole_state() {
+fn a_daemon_with_a_skipped_table_gets_the_whole_state() {
     let mut state = ControlState::default();
     apply_all(&mut state, tables(1, &(1..=12).collect::<Vec<_>>()));
     for held in 1..12 {
         let update = state.update_since(Revision { term: 1, index: held });
-        assert_eq!(update.full.as_ref(), Some(state.shared()), "holds {held}");
+        assert_eq!(update.full.as_ref(), Some(state.shared()), "revision {held}");
     }
     let update = state.update_since(Revision { term: 1, index: 12 });
     assert!(update.full.is_none() && update.changes.is_empty());
 }
 
+/// Guards against a full update where a few changes suffice.
 #[test]
-fn a_few_tables_are_told_one_by_one() {
+fn a_few_tables_are_sent_as_separate_changes() {
     let mut state = ControlState::default();
     apply_all(&mut state, tables(1, &[1, 2, 3]));
     let update = state.update_since(Revision { term: 1, index: 1 });
@@ -94,9 +97,10 @@
     assert_eq!(update.changes.len(), 2);
 }
 
-/// A table that is passed over is accepted, and a read that begins after that must show it or a later one.
+/// Guards against stale reads: once a skipped table is reported as applied, a read must return it
+/// or a later one.
 #[test]
-fn nothing_counts_as_applied_before_the_table_that_holds_is() {
+fn nothing_is_reported_before_the_superseding_table_is_applied() {
     let mut backlog = Backlog::default();
     let mut entries = tables(1, &(1..=9).collect::<Vec<_>>());
     entries.push(host(10));
@@ -108,11 +112,11 @@
         let mut seen = Vec::new();
         backlog.apply(&mut state, || true, |position, _| seen.push(position.index));
         for index in seen {
-            assert_eq!(index, last + 1, "each entry is told once, in its order");
+            assert_eq!(index, last + 1, "each entry is reported once, in log order");
             last = index;
             assert!(
                 state.route_number() >= index.min(9),
-                "{index} is told at table {}",
+                "{index} is reported at table {}",
                 state.route_number()
             );
         }
--- a/crates/cherrystream-control/tests/driver.rs
+++ b/crates/cherrystream-control/tests/driver.rs
@@ -1,4 +1,4 @@
-//! The thread that drives the replicated log, on a real folder.
+//! The thread that drives the replicated log, with a folder on disk.
 
 mod support;
 
@@ -13,10 +13,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Tables in the log; applying them takes many slices.
+/// Tables in the log. Applying them takes many slices.
 const TABLES: u64 = 150;
 /// Routes of each table.
-const ROUTES: u64 = 300;
+const ROUTES_PER_TABLE: u64 = 300;
 
 fn open(folder: &Path) -> (Handle, std::thread::JoinHandle<()>) {
     let folder = DiskFolder::try_new(folder.to_str().unwrap()).unwrap();
@@ -31,49 +31,49 @@
     thread.join().unwrap();
 }
 
-/// A replica that applies a long log must go on with heartbeats and votes meanwhile; otherwise the
-/// others take it for dead and elect another leader, which then does the same.
+/// Guards against repeated elections: a replica that applies a long log must keep sending
+/// heartbeats and votes.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_replica_answers_while_it_applies_a_long_log() {
+async fn a_replica_responds_while_it_applies_a_long_log() {
     let folder = tempfile::tempdir().unwrap();
     let (handle, thread) = open(folder.path());
     handle.standing.clone().wait_for(|s| s.leads).await.unwrap();
     for number in 1..=TABLES {
-        let packed = routes::pack(&support::order(number, ROUTES));
+        let packed = routes::pack(&support::order(number, ROUTES_PER_TABLE));
         handle.propose(Command::ReplaceRoutes { packed, number: 0 }).await.unwrap();
     }
     stop(&handle, thread);
 
     let (handle, thread) = open(folder.path());
-    let mut answers = 0;
+    let mut responses = 0;
     loop {
         handle.views().await;
         let applied = handle.standing.borrow().applied;
         if handle.state.read().route_number() == TABLES {
             break;
         }
-        answers += u32::from(applied > 0);
+        responses += u32::from(applied > 0);
     }
-    // Reads wait for the whole log.
+    // A read waits until the whole log is applied.
     handle.read().await.unwrap();
     assert_eq!(handle.state.read().route_number(), TABLES);
-    assert!(answers >= 3, "{answers} answers while the log was applied");
+    assert!(responses >= 3, "{responses} responses while the log was applied");
     stop(&handle, thread);
 }
 
 /// Routes of one large table.
-const LARGE: u64 = 14_000;
-/// Longest time without an answer of the thread that drives the log: the time between heartbeats where replicas come and
-/// go. Debug build on 8 cores: 776 ms where it applied the table itself, 5 ms since another thread does.
-const LONGEST_PAUSE: Duration = Duration::from_millis(200);
+const LARGE_TABLE_ROUTES: u64 = 14_000;
+/// Longest time in which the driver thread may be unresponsive: the heartbeat interval of groups
+/// formed from seeds.
+const MAX_PAUSE: Duration = Duration::from_millis(200);
 
-/// Load: one table of 14,000 routes. A leader that stands still for an election's time is replaced.
+/// Guards against the loss of leadership while one large table is applied.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_replica_answers_while_it_applies_one_large_table() {
+async fn a_replica_responds_while_it_applies_one_large_table() {
     let folder = tempfile::tempdir().unwrap();
     let (handle, thread) = open(folder.path());
     handle.standing.clone().wait_for(|s| s.leads).await.unwrap();
-    let packed = routes::pack(&support::order(1, LARGE));
+    let packed = routes::pack(&support::order(1, LARGE_TABLE_ROUTES));
     let proposing = handle.clone();
     let proposed = tokio::spawn(async move {
         proposing.propose(Command::ReplaceRoutes { packed, number: 1 }).await
@@ -88,6 +88,6 @@
     proposed.await.unwrap().unwrap();
     assert_eq!(handle.state.read().route_number(), 1);
     println!("the longest pause was {longest:?}");
-    assert!(longest < LONGEST_PAUSE, "no answer for {longest:?}");
+    assert!(longest < MAX_PAUSE, "no response for {longest:?}");
     stop(&handle, thread);
 }
--- a/crates/cherrystream-control/tests/place.rs
+++ b/crates/cherrystream-control/tests/place.rs
@@ -1,4 +1,4 @@
-//! Whether a replica may found its group, after restarts.
+//! Permission to bootstrap the group, across restarts.
 
 use cherrystream_control::folder::DiskFolder;
 use cherrystream_control::founder;
@@ -8,7 +8,7 @@
 use cherrystream_core::settings;
 use std::path::Path;
 
-/// Finds the place of the first of three seeds.
+/// Finds the member slot of the first of three seeds.
 async fn find(folder: &Path, found: bool) -> Place {
     let text = format!(
         "host: core-1\nfailure_domain: z\nclosed_network: true\ncontrol:\n  rpc_address: \
@@ -24,9 +24,10 @@
     place::find(all.control.as_ref().unwrap(), &disk, &finder).await.unwrap()
 }
 
-/// Settings say only at the very first start that the group may be founded.
+/// Guards against a group that is never bootstrapped because a replica stopped too early: the
+/// settings allow the bootstrap only at the first start.
 #[tokio::test]
-async fn a_founder_that_ends_before_the_group_is_founded_may_still_found_it() {
+async fn a_replica_that_stops_before_the_bootstrap_may_still_bootstrap() {
     let folder = tempfile::tempdir().unwrap();
     let first = find(folder.path(), true).await;
     assert!(first.may_bootstrap);
@@ -37,12 +38,15 @@
     assert_eq!(again.identity, first.identity);
     store.set_aside().unwrap();
     let disk = DiskFolder::try_new(folder.path()).unwrap();
-    assert!(!founder::is_marked(&disk).unwrap(), "a place that was lost is not founded anew");
+    assert!(
+        !founder::is_marked(&disk).unwrap(),
+        "a replica that lost its member slot must not bootstrap"
+    );
 }
 
-/// One that joined a group holds a place without having founded anything.
+/// Guards against a second group bootstrapped by a replica that joined the first one.
 #[tokio::test]
-async fn a_replica_that_joined_founds_nothing() {
+async fn a_replica_that_joined_may_not_bootstrap() {
     let folder = tempfile::tempdir().unwrap();
     let disk = DiskFolder::try_new(folder.path()).unwrap();
     Store::open(disk, 1, "joined").unwrap();
--- a/crates/cherrystream-control/tests/standby.rs
+++ b/crates/cherrystream-control/tests/standby.rs
@@ -1,4 +1,4 @@
-//! A replica that stands by finds the members again after a restart, though its seeds know none.
+//! A standby finds the members after a restart, even if none of its seeds is a member.
 
 use cherrystream_control::contacts;
 use cherrystream_control::folder::{DiskFolder, Folder};
@@ -12,15 +12,16 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// Longest wait for a condition; far beyond what is usual.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Longest wait for a condition.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Loopback addresses of this test's own, so that its ports are free.
+/// Returns the prefix of loopback addresses that only this process uses, so that its ports are
+/// free.
 fn base() -> String {
     format!("127.{}.{}", 200, 1 + std::process::id() % 250)
 }
 
-/// Starts a replica in a data folder, whose settings name `seeds`; the task ends once it has a place.
+/// Starts a replica whose settings name `seeds`. The task ends once it has a member slot.
 fn start(n: u8, seeds: &[u8], folder: &Path, found: bool) -> JoinHandle<Control> {
     let folder = folder.display();
     let base = base();
@@ -43,8 +44,8 @@
     tokio::spawn(async move { Control::start(all.control.as_ref().unwrap(), cx).await.unwrap() })
 }
 
-/// Waits until a replica names all of `members` to one that asks for a place.
-async fn names(n: u8, members: &BTreeSet<String>) {
+/// Waits until a replica returns all of `members` to a joining replica.
+async fn wait_until_known(n: u8, members: &BTreeSet<String>) {
     let address = format!("{}.{n}:7620", base());
     let request = JoinRequest {
         address: format!("{}.99:7620", base()),
@@ -64,14 +65,14 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let named = tokio::time::timeout(PATIENCE, asking).await;
-    assert!(named.is_ok(), "replica {n} does not name {members:?}");
+    let known = tokio::time::timeout(TIMEOUT, asking).await;
+    assert!(known.is_ok(), "replica {n} does not return {members:?}");
 }
 
-/// Found on the users' platform: the seeds had been exchanged, two of the new ones lost their disks, the
-/// third stood by, and all lost power.
+/// Guards against a standby that cannot find the members after a power failure, because all its
+/// seeds are standbys or down.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_a_replica_without_a_place_has_learned_outlasts_it() {
+async fn a_standby_keeps_learned_addresses_after_a_restart() {
     let folder = tempfile::tempdir().unwrap();
     let path = |n: u8| folder.path().join(n.to_string());
     let mut members = Vec::new();
@@ -80,33 +81,34 @@
     }
     let addresses: BTreeSet<String> = (1..=3).map(|n| format!("{}.{n}:7620", base())).collect();
     let standby = start(4, &[1, 2, 3], &path(4), true);
-    names(4, &addresses).await;
-    // What it tells it has also kept, or is about to.
-    let own = DiskFolder::try_new(path(4)).unwrap();
-    let kept = async {
-        while contacts::read(&own).len() < 3 {
+    wait_until_known(4, &addresses).await;
+    // The addresses are stored shortly after they are learned.
+    let disk = DiskFolder::try_new(path(4)).unwrap();
+    let stored = async {
+        while contacts::read(&disk).len() < 3 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, kept).await.expect("the addresses are not kept");
+    tokio::time::timeout(TIMEOUT, stored).await.expect("the addresses are not stored");
     standby.abort();
     let _ = standby.await;
-    // It starts again with the same disk (at another address, as the old one may be in use yet). Its
-    // settings name only replicas that are not there.
-    let _again = start(5, &[5, 6, 7], &path(4), false);
-    names(5, &addresses).await;
+    // Restarts it with the same disk, at another address because the old one may still be in use.
+    // Its settings name only replicas that do not run.
+    let _restarted = start(5, &[5, 6, 7], &path(4), false);
+    wait_until_known(5, &addresses).await;
 }
 
+/// Guards against partly written contacts after an interrupted write.
 #[test]
-fn contacts_are_replaced_as_a_whole() {
+fn contacts_are_replaced_atomically() {
     let folder = tempfile::tempdir().unwrap();
     let mut folder = DiskFolder::try_new(folder.path()).unwrap();
     assert!(contacts::read(&folder).is_empty());
     contacts::write(&mut folder, &["a:1".into(), "b:1".into()]).unwrap();
-    // As after a write that did not end.
+    // Simulates an interrupted write.
     folder.append("contacts.json.new", b"[\"c").unwrap();
     contacts::write(&mut folder, &["d:1".into()]).unwrap();
     assert_eq!(contacts::read(&folder), ["d:1"]);
     folder.append("contacts.json", b"torn").unwrap();
-    assert!(contacts::read(&folder).is_empty(), "what cannot be read is no loss");
+    assert!(contacts::read(&folder).is_empty(), "an unreadable file is treated as empty");
 }
--- a/crates/cherrystream-control/tests/store.rs
+++ b/crates/cherrystream-control/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store under lost syncs, torn writes and flipped bits, on a fake disk.
+//! Recovery of the store after power failures, torn writes and bit flips, on a simulated disk.
 
 use cherrystream_control::errors::Error;
 use cherrystream_control::folder::Folder;
@@ -8,23 +8,23 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
-/// Content that is durable, and content that a power cut may take.
+/// Durable content and current content of a file. A power failure may lose the difference.
 #[derive(Clone, Debug, Default)]
 struct File {
     synced: Vec<u8>,
     now: Vec<u8>,
 }
 
-/// A disk that forgets what was not synced, and stops after a number of operations.
+/// A disk that loses unsynced data, and fails after a number of operations.
 #[derive(Clone, Debug, Default)]
 struct Disk {
-    /// Names as a look at the folder shows them.
+    /// Current files by name.
     now: BTreeMap<String, File>,
-    /// Names that a power cut leaves, with the file each stands for.
+    /// Files by name as of the last sync of the folder.
     synced_names: BTreeMap<String, File>,
     operations: usize,
-    /// Bytes that still find room; a longer write leaves as many behind and fails.
-    room: Option<usize>,
+    /// Free bytes. A longer write stores this many bytes and fails.
+    free_bytes: Option<usize>,
     stop_after: Option<usize>,
 }
 
@@ -37,8 +37,8 @@
         Ok(())
     }
 
-    /// What a power cut leaves: synced names with their synced content, and `torn` bytes of what
-    /// was written after the last sync.
+    /// Returns the disk after a power failure: synced names with their synced content, and `torn`
+    /// bytes of each file written after its last sync.
     fn after_power_cut(&self, torn: usize) -> Disk {
         let mut left = Disk::default();
         for (name, at_sync) in &self.synced_names {
@@ -86,7 +86,7 @@
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let mut disk = self.0.lock().unwrap();
         disk.operate()?;
-        let fits = disk.room.map_or(bytes.len(), |room| room.min(bytes.len()));
+        let fits = disk.free_bytes.map_or(bytes.len(), |free| free.min(bytes.len()));
         let file = disk.now.entry(name.into()).or_default();
         file.now.extend_from_slice(&bytes[..fits]);
         if fits < bytes.len() { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
@@ -147,7 +147,7 @@
     Snapshot { term, index, members, state: "{}".into() }
 }
 
-/// What was acknowledged by the time of the power cut.
+/// State that was acknowledged before the power failure.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Acknowledged {
     term: u64,
@@ -155,14 +155,14 @@
     snapshot: u64,
 }
 
-/// Writes, overwrites and compacts until the disk stops; returns what was acknowledged.
-fn work(folder: &FakeFolder) -> Acknowledged {
+/// Writes, overwrites and compacts until the disk fails. Returns the acknowledged state.
+fn write_until_failure(folder: &FakeFolder) -> Acknowledged {
     let mut done = Acknowledged::default();
-    let _ = work_until_cut(folder, &mut done);
+    let _ = try_write_all(folder, &mut done);
     done
 }
 
-fn work_until_cut(
+fn try_write_all(
     folder: &FakeFolder,
     done: &mut Acknowledged,
 ) -> cherrystream_control::errors::Result<()> {
@@ -183,28 +183,29 @@
     Ok(())
 }
 
-/// Returns the term and index of the last entry or snapshot, and whether all between is there.
+/// Returns the term and index of the last entry or snapshot. Checks that no entry is missing.
 fn last_of(found: &Recovery) -> (u64, u64) {
     let base = found.restored.snapshot.as_ref().map_or(0, |s| s.index);
-    for (place, entry) in found.restored.entries.iter().enumerate() {
-        assert_eq!(entry.index, base + 1 + place as u64, "an entry is missing");
+    for (offset, entry) in found.restored.entries.iter().enumerate() {
+        assert_eq!(entry.index, base + 1 + offset as u64, "an entry is missing");
     }
     let entries = &found.restored.entries;
     let at_base = found.restored.snapshot.as_ref().map_or((0, 0), |s| (s.term, s.index));
     entries.last().map_or(at_base, |e| (e.term, e.index))
 }
 
+/// Guards against the loss of acknowledged entries, votes and snapshots.
 #[test]
-fn a_power_cut_at_every_operation_loses_nothing_acknowledged() {
+fn a_power_failure_at_any_operation_loses_nothing_acknowledged() {
     let whole = FakeFolder::new(Disk::default());
-    assert_eq!(work(&whole), Acknowledged { term: 2, last: 7, snapshot: 7 });
+    assert_eq!(write_until_failure(&whole), Acknowledged { term: 2, last: 7, snapshot: 7 });
     let operations = whole.disk().operations;
     assert!(operations > 25, "{operations}");
     for stop_after in 0..operations {
         for torn in [0, 1, 7, 30, 200, usize::MAX] {
             let disk = Disk { stop_after: Some(stop_after), ..Disk::default() };
             let folder = FakeFolder::new(disk);
-            let acknowledged = work(&folder);
+            let acknowledged = write_until_failure(&folder);
             let left = FakeFolder::new(folder.disk().after_power_cut(torn));
             let (store, found) = Store::open(left, 1, "another-disk").unwrap();
             let (term, index) = last_of(&found);
@@ -212,17 +213,18 @@
             assert!(index >= acknowledged.last, "{at}: {index} of {acknowledged:?}");
             assert!(term >= acknowledged.term || acknowledged.last < 7, "{at}");
             let term = found.restored.hard.as_ref().map_or(0, |h| h.term);
-            assert!(term >= acknowledged.term, "{at}: the vote was forgotten");
+            assert!(term >= acknowledged.term, "{at}: the vote was lost");
             let base = found.restored.snapshot.as_ref().map_or(0, |s| s.index);
-            assert!(base >= acknowledged.snapshot, "{at}: the snapshot went back");
-            // A disk that acknowledged anything keeps its identity.
+            assert!(base >= acknowledged.snapshot, "{at}: the snapshot is older");
+            // A disk with acknowledged data keeps its identifier.
             assert!(acknowledged.last == 0 || store.disk() == "disk", "{at}");
         }
     }
 }
 
+/// Guards against silent loss of entries after a bit flip.
 #[test]
-fn a_flipped_bit_anywhere_is_refused_or_harmless() {
+fn a_bit_flip_is_detected_or_harmless() {
     let whole = FakeFolder::new(Disk::default());
     let (mut store, _) = Store::open(whole.clone(), 1, "disk").unwrap();
     for index in 1..=4 {
@@ -242,8 +244,9 @@
     }
 }
 
+/// Guards against a start with the data of another replica.
 #[test]
-fn a_folder_of_another_replica_is_refused() {
+fn a_folder_of_another_replica_is_rejected() {
     let folder = FakeFolder::new(Disk::default());
     Store::open(folder.clone(), 1, "disk").unwrap();
     let e = Store::open(folder, 2, "disk").err().unwrap().to_string();
@@ -254,20 +257,21 @@
     );
 }
 
+/// Guards against partial records in the log after a write to a full disk.
 #[test]
-fn a_write_that_finds_no_room_leaves_the_file_as_it_was_and_may_be_tried_again() {
+fn a_write_to_a_full_disk_leaves_the_file_unchanged_and_may_be_retried() {
     let folder = FakeFolder::new(Disk::default());
     let (mut store, _) = Store::open(folder.clone(), 1, "disk").unwrap();
     let first = [entry(1, 1)];
     store.append(&Batch { entries: &first, hard: Some(&hard(1)) }).unwrap();
     let second = [entry(1, 2), entry(1, 3)];
     let batch = Batch { entries: &second, hard: None };
-    for room in [0, 1, 7, 40] {
-        folder.0.lock().unwrap().room = Some(room);
-        let refused = store.append(&batch);
-        assert!(matches!(refused, Err(Error::NotWritten { .. })), "{refused:?}");
+    for free in [0, 1, 7, 40] {
+        folder.0.lock().unwrap().free_bytes = Some(free);
+        let failed = store.append(&batch);
+        assert!(matches!(failed, Err(Error::NotWritten { .. })), "{failed:?}");
     }
-    folder.0.lock().unwrap().room = None;
+    folder.0.lock().unwrap().free_bytes = None;
     store.append(&batch).unwrap();
     let (_, found) = Store::open(FakeFolder::new(folder.disk()), 1, "other").unwrap();
     let indexes: Vec<u64> = found.restored.entries.iter().map(|e| e.index).collect();
@@ -275,9 +279,10 @@
     assert_eq!(found.torn_bytes, 0);
 }
 
-/// What a replica held whose place was given away can still be looked at, and does not pile up.
+/// Guards against the loss of the log of a replica that lost its member slot, and against the
+/// accumulation of old logs.
 #[test]
-fn a_log_that_is_set_aside_is_kept_until_the_next_one() {
+fn a_log_that_is_set_aside_replaces_the_previous_one() {
     let folder = FakeFolder::new(Disk::default());
     for disk in ["first", "second"] {
         let (mut store, found) = Store::open(folder.clone(), 1, disk).unwrap();
--- a/crates/cherrystream-control/tests/support/mod.rs
+++ b/crates/cherrystream-control/tests/support/mod.rs
@@ -4,7 +4,8 @@
     RequestLimits, Route, RouteOrder, RouteTable, RouteTarget, RoutedService,
 };
 
-/// Returns an order with a table of `routes` routes; its number stands in all of them.
+/// Returns an operator command with a table of `routes` routes. The table number is part of each
+/// route.
 pub fn order(number: u64, routes: u64) -> RouteOrder {
     let route = |i: u64| Route {
         host: format!("h{i}.example"),
