--- a/crates/cherrystream-daemon/src/sync/downloads.rs
+++ b/crates/cherrystream-daemon/src/sync/downloads.rs
@@ -1,7 +1,7 @@
 //! Fetches long updates in chunks, from peers nearby or from control.
 
+use crate::current_config::CurrentConfigCell;
 use crate::headers::{self, Op};
-use crate::held::HeldCell;
 use crate::metrics::{Metrics, ReasonLabel};
 use crate::peer::Peers;
 use cherrystream_core::distribution::{ChunkOutcome, Download, EncodedUpdate, UpdateCache};
@@ -68,7 +68,7 @@
 /// What the downloads of a daemon use.
 pub struct Tools {
     /// Shared state held.
-    pub held: Arc<HeldCell>,
+    pub held: Arc<CurrentConfigCell>,
     /// Encoded updates that other daemons may fetch here.
     pub library: Arc<Mutex<UpdateCache>>,
     /// Connections to peers.
@@ -318,7 +318,7 @@
         self.count("whole");
         let (from, shown) = (DisplayRevision(from), DisplayRevision(to));
         log::info!("sync: fetched {shown} since {from}: {bytes} bytes in {took:?}");
-        self.tools.held.take(update);
+        self.tools.held.apply(update);
         self.note_end();
     }
 
--- a/crates/cherrystream-daemon/src/sync/mod.rs
+++ b/crates/cherrystream-daemon/src/sync/mod.rs
@@ -6,8 +6,8 @@
 pub use downloads::{Downloads, Tools};
 pub use newer::{Newer, Seen};
 
+use crate::current_config::{CurrentConfig, CurrentConfigCell};
 use crate::headers::{self, Op};
-use crate::held::{Held, HeldCell};
 use crate::instances::Instances;
 use crate::metrics::{Metrics, ReasonLabel};
 use crate::peer::Peers;
@@ -58,7 +58,7 @@
 /// Keeps the shared state up to date.
 pub struct Sync {
     /// Shared state held.
-    pub held: Arc<HeldCell>,
+    pub held: Arc<CurrentConfigCell>,
     /// Registration of this host.
     pub record: HostRecord,
     /// The control replicas. Taken with no other lock.
@@ -153,7 +153,7 @@
     /// Notes for how long a word of control holds: until the next one is late, by the shortest wait.
     fn hear_word(&self, state_age: Duration) {
         let until = self.clock.now() + WORD_HOLDS.saturating_sub(state_age);
-        self.held.hear_word(until);
+        self.held.extend_canary_lease(until);
     }
 
     /// Sends heartbeats until one fails, and tells why it did. A replica of another failure domain is left when one
@@ -278,7 +278,7 @@
     fn take(&self, update: Update, from: &'static str) {
         let revision = update.revision;
         let (changes, whole) = (update.changes.len(), update.full.is_some());
-        if self.held.take(update) {
+        if self.held.apply(update) {
             let shown = DisplayRevision(revision);
             log::info!("sync: revision {shown} from {from}: {changes} changes, whole: {whole}");
             self.metrics.updates.get_or_create(&ReasonLabel { reason: from }).inc();
@@ -288,7 +288,7 @@
     /// Shows each revision that is held, however it came.
     pub async fn show_revisions(self: Arc<Self>, mut revisions: watch::Receiver<Revision>) {
         while revisions.changed().await.is_ok() {
-            let Held { revision, routes, .. } = self.held.get();
+            let CurrentConfig { revision, routes, .. } = self.held.get();
             self.metrics.revision_index.set(revision.index as i64);
             self.metrics.revision_term.set(revision.term as i64);
             let serves = !self.routes_only || routes.is_some();
