--- a/crates/cherrystream-control/src/registrar.rs
+++ b/crates/cherrystream-control/src/registrar.rs
@@ -1,10 +1,10 @@
 //! Registers daemons and instances with the leader, and confirms reads, in batches.
 
+use crate::call_batcher::CallBatcher;
 use crate::handle::{Handle, NoResult};
 use crate::metrics::Metrics;
 use crate::operators::Operators;
 use crate::peers::Line;
-use crate::together::CallBatcher;
 use cherrystream_net::rpc::{self, ControlRpcClient};
 use cherrystream_schema::messages::{Change, Command};
 use jsonrpsee::types::ErrorObjectOwned;
--- a/crates/cherrystream-control/tests/together.rs
+++ b/crates/cherrystream-control/tests/call_batcher.rs
@@ -1,6 +1,6 @@
 //! Batching of concurrent calls.
 
-use cherrystream_control::together::CallBatcher;
+use cherrystream_control::call_batcher::CallBatcher;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
