--- a/crates/cherrystream-control/src/place.rs
+++ b/crates/cherrystream-control/src/place.rs
@@ -6,9 +6,9 @@
 use crate::founder;
 use crate::metrics::Metrics;
 use crate::peers::Line;
-use crate::recall::{self, Identity};
 use crate::rpc_server;
 use crate::standby::Standby;
+use crate::stored_identity::{self, Identity};
 use cherrystream_core::raft;
 use cherrystream_net::clock;
 use cherrystream_net::key::Secret;
@@ -118,7 +118,7 @@
     };
     let seeds = seeds::rpc_addresses(seeds);
     let slots = initial_slots(&seeds, settings.losses_borne);
-    if let Some(stored) = recall::read(folder)? {
+    if let Some(stored) = stored_identity::read(folder)? {
         let mut addresses = stored.addresses;
         if addresses.is_empty() {
             addresses = slots;
