--- a/crates/cherrystream-control/src/founder.rs
+++ b/crates/cherrystream-control/src/bootstrap_marker.rs
@@ -14,7 +14,7 @@
 /// # Errors
 ///
 /// Fails when the folder cannot be read.
-pub fn is_marked(folder: &impl Folder) -> Result<bool> {
+pub fn exists(folder: &impl Folder) -> Result<bool> {
     let names = folder.list().map_err(errors::folder("list the files"))?;
     Ok(names.iter().any(|name| name == MARKER_FILE))
 }
@@ -24,7 +24,7 @@
 /// # Errors
 ///
 /// Fails when the marker cannot be written.
-pub fn mark(folder: &mut impl Folder) -> Result<()> {
+pub fn write(folder: &mut impl Folder) -> Result<()> {
     folder.append(MARKER_FILE, &[]).map_err(errors::folder("write the bootstrap marker"))?;
     folder.sync(MARKER_FILE).map_err(errors::folder("sync the bootstrap marker"))?;
     folder.sync_names().map_err(errors::folder("sync the folder"))
@@ -35,7 +35,7 @@
 /// # Errors
 ///
 /// Fails when the marker cannot be removed.
-pub fn unmark(folder: &mut impl Folder, names: &[String]) -> Result<()> {
+pub fn remove(folder: &mut impl Folder, names: &[String]) -> Result<()> {
     if !names.iter().any(|name| name == MARKER_FILE) {
         return Ok(());
     }
--- a/crates/cherrystream-control/src/place.rs
+++ b/crates/cherrystream-control/src/place.rs
@@ -1,9 +1,9 @@
 //! Member slot of a replica in the group: fixed by settings, assigned at bootstrap, or requested.
 
+use crate::bootstrap_marker;
 use crate::contacts;
 use crate::errors::Result;
 use crate::folder::Folder;
-use crate::founder;
 use crate::metrics::Metrics;
 use crate::peers::Line;
 use crate::rpc_server;
@@ -124,13 +124,13 @@
             addresses = slots;
         }
         // A replica that stopped before the bootstrap completed continues it.
-        let may_bootstrap = settings.found || founder::is_marked(folder)?;
+        let may_bootstrap = settings.found || bootstrap_marker::exists(folder)?;
         let identity = stored.identity;
         return Ok(Place { identity, addresses, fixed: false, failure_domain, may_bootstrap });
     }
     let own = seeds.iter().position(|address| *address == settings.rpc_address);
     if let Some(position) = own.filter(|_| settings.found) {
-        founder::mark(&mut folder.fork())?;
+        bootstrap_marker::write(&mut folder.fork())?;
         let identity = Identity { replica: position as u64 + 1, disk: new_disk };
         let addresses = slots;
         return Ok(Place {
--- a/crates/cherrystream-control/src/store.rs
+++ b/crates/cherrystream-control/src/store.rs
@@ -4,9 +4,9 @@
 //! which replaces the old one by a rename. The disk identifier is in the same file, so that it is
 //! lost together with the data that it identifies.
 
+use crate::bootstrap_marker;
 use crate::errors::{self, Error, Result};
 use crate::folder::Folder;
-use crate::founder;
 use crate::records::{Reader, Record, encode};
 use cherrystream_core::raft::Restored;
 use cherrystream_schema::messages::{Entry, HardState, Snapshot};
@@ -148,7 +148,7 @@
             self.folder.remove(name).map_err(errors::folder("remove a file"))?;
         }
         // A replica that joins an existing group must not bootstrap one.
-        founder::unmark(&mut self.folder, &names)?;
+        bootstrap_marker::remove(&mut self.folder, &names)?;
         for name in names.iter().filter(|name| file_number(name).is_some()) {
             let aside = format!("{ASIDE_PREFIX}{name}");
             self.folder.rename(name, &aside).map_err(errors::folder("rename a file"))?;
--- a/crates/cherrystream-control/tests/place.rs
+++ b/crates/cherrystream-control/tests/place.rs
@@ -1,7 +1,7 @@
 //! Permission to bootstrap the group, across restarts.
 
+use cherrystream_control::bootstrap_marker;
 use cherrystream_control::folder::DiskFolder;
-use cherrystream_control::founder;
 use cherrystream_control::metrics::Metrics;
 use cherrystream_control::place::{self, Finder, Place};
 use cherrystream_control::store::Store;
@@ -39,7 +39,7 @@
     store.set_aside().unwrap();
     let disk = DiskFolder::try_new(folder.path()).unwrap();
     assert!(
-        !founder::is_marked(&disk).unwrap(),
+        !bootstrap_marker::exists(&disk).unwrap(),
         "a replica that lost its member slot must not bootstrap"
     );
 }
