--- a/crates/cherrystream-control/src/arrivals.rs
+++ b/crates/cherrystream-control/src/incoming_transfers.rs
@@ -42,17 +42,17 @@
 
 /// Long messages that are being received.
 #[derive(Clone, Debug)]
-pub struct Arrivals {
+pub struct IncomingTransfers {
     receiving: Arc<Mutex<Receiving>>,
     /// Receives complete messages.
     events: mpsc::Sender<Event>,
 }
 
-impl Arrivals {
+impl IncomingTransfers {
     /// Creates a receiver that passes complete messages to the driver of the log.
-    pub fn new(events: mpsc::Sender<Event>) -> Arrivals {
+    pub fn new(events: mpsc::Sender<Event>) -> IncomingTransfers {
         let receiving = Receiving::new(u64::from(MESSAGE_BYTES));
-        Arrivals { receiving: Arc::new(Mutex::new(receiving)), events }
+        IncomingTransfers { receiving: Arc::new(Mutex::new(receiving)), events }
     }
 
     /// Records a piece and returns the number of bytes received of its message. A complete message
@@ -61,22 +61,22 @@
     /// # Errors
     ///
     /// Fails on an invalid piece or message, and discards the message.
-    pub async fn take(&self, now: Timestamp, piece: Piece) -> Result<u64, TransferError> {
+    pub async fn receive(&self, now: Timestamp, piece: Piece) -> Result<u64, TransferError> {
         let outcome = self.receiving.lock().take(now, &piece).context(PieceSnafu)?;
         let content = match outcome {
             PieceOutcome::Held(held) => return Ok(held),
             PieceOutcome::Whole(content) => content,
         };
         let total = piece.total;
-        let arrivals = self.clone();
+        let transfers = self.clone();
         // Decoding takes long. A blocking task that has started is not cancelled.
-        let delivery = task::spawn_blocking(move || arrivals.deliver(&content, &piece));
+        let delivery = task::spawn_blocking(move || transfers.deliver(&content, &piece));
         delivery.await.context(ReadingSnafu)??;
         Ok(total)
     }
 
     /// Discards messages that make no progress.
-    pub fn tidy(&self, now: Timestamp) {
+    pub fn discard_stalled(&self, now: Timestamp) {
         self.receiving.lock().discard_stalled(now);
     }
 
--- a/crates/cherrystream-control/src/lib.rs
+++ b/crates/cherrystream-control/src/lib.rs
@@ -4,7 +4,6 @@
 
 pub mod api;
 mod applier;
-pub mod arrivals;
 pub mod backlog;
 pub mod bootstrap_marker;
 pub mod call_batcher;
@@ -14,6 +13,7 @@
 pub mod errors;
 pub mod folder;
 pub mod handle;
+pub mod incoming_transfers;
 pub mod metrics;
 pub mod operators;
 pub mod orders;
--- a/crates/cherrystream-control/src/role.rs
+++ b/crates/cherrystream-control/src/role.rs
@@ -1,12 +1,12 @@
 //! Puts the parts of the control role together.
 
 use crate::api::{Api, Operator};
-use crate::arrivals::Arrivals;
 use crate::distribution::Distribution;
 use crate::driver;
 use crate::errors::{self, Error, Result};
 use crate::folder::DiskFolder;
 use crate::handle::{Event, Handle};
+use crate::incoming_transfers::IncomingTransfers;
 use crate::metrics::Metrics;
 use crate::operators::Operators;
 use crate::orders::Orders;
@@ -102,7 +102,7 @@
             handle: handle.clone(),
             lines,
             reach,
-            arrivals: Arrivals::new(handle.events.clone()),
+            arrivals: IncomingTransfers::new(handle.events.clone()),
             distribution: Arc::new(Distribution::new(&cx.failure_domain)),
             registrar: Registrar::start(&operators, cx.metrics.clone()),
             rollouts: Rollouts::new(rollout_limits(settings)),
--- a/crates/cherrystream-control/src/rpc_server.rs
+++ b/crates/cherrystream-control/src/rpc_server.rs
@@ -1,9 +1,9 @@
 //! The RPC interface of this replica: for daemons, and for the other replicas.
 
-use crate::arrivals::Arrivals;
 use crate::distribution::{Distribution, Lacking};
 use crate::errors::{Error, Result};
 use crate::handle::{Event, Handle, NoResult};
+use crate::incoming_transfers::IncomingTransfers;
 use crate::metrics::Metrics;
 use crate::operators::Operators;
 use crate::peers::Line;
@@ -73,7 +73,7 @@
     /// Roll-outs that are under way.
     pub rollouts: Rollouts,
     /// Long messages on their way here.
-    pub arrivals: Arrivals,
+    pub arrivals: IncomingTransfers,
     /// Limits of the ledger.
     pub limits: LedgerLimits,
     /// Failure domain of this host, where replicas come and go.
@@ -249,7 +249,7 @@
 #[async_trait]
 impl ControlRpcServer for RpcServer {
     async fn raft(&self, messages: Vec<RaftMessage>) -> RpcResult<()> {
-        self.arrivals.tidy(self.handle.clock.now());
+        self.arrivals.discard_stalled(self.handle.clock.now());
         let sent = self.handle.events.send(Event::Messages(messages));
         sent.map_err(|_| rpc::unavailable("this replica has stopped"))
     }
@@ -373,7 +373,7 @@
             return Err(rpc::unavailable("this replica knows no such sender"));
         }
         let from = piece.from;
-        match self.arrivals.take(self.handle.clock.now(), piece).await {
+        match self.arrivals.receive(self.handle.clock.now(), piece).await {
             Ok(held) => Ok(PieceReply { held }),
             Err(e) => {
                 log::debug!("control: a piece of replica {from} is refused: {e}");
--- a/crates/cherrystream-control/tests/arrivals.rs
+++ b/crates/cherrystream-control/tests/incoming_transfers.rs
@@ -1,7 +1,7 @@
 //! Receipt of long messages that are transferred in pieces.
 
-use cherrystream_control::arrivals::{Arrivals, TransferError};
 use cherrystream_control::handle::Event;
+use cherrystream_control::incoming_transfers::{IncomingTransfers, TransferError};
 use cherrystream_core::transfer::{self, Sending};
 use cherrystream_core::units::Timestamp;
 use cherrystream_schema::messages::{Piece, RaftBody, RaftMessage};
@@ -24,9 +24,9 @@
     Sending::new(1, 7, content, NOW).piece(1 << 20, term)
 }
 
-fn arrivals() -> (Arrivals, Receiver<Event>) {
+fn transfers() -> (IncomingTransfers, Receiver<Event>) {
     let (tx, rx) = mpsc::channel();
-    (Arrivals::new(tx), rx)
+    (IncomingTransfers::new(tx), rx)
 }
 
 fn delivered(rx: &Receiver<Event>) -> Vec<RaftMessage> {
@@ -39,9 +39,9 @@
 /// Guards against delivery with the term at the start of the transfer, which may be outdated.
 #[tokio::test]
 async fn a_complete_message_is_delivered_in_the_term_of_its_last_piece() {
-    let (arrivals, rx) = arrivals();
+    let (transfers, rx) = transfers();
     let piece = piece(transfer::pack(&message(1)), 4);
-    assert_eq!(arrivals.take(NOW, piece.clone()).await.unwrap(), piece.total);
+    assert_eq!(transfers.receive(NOW, piece.clone()).await.unwrap(), piece.total);
     assert_eq!(delivered(&rx), vec![RaftMessage { term: 4, ..message(1) }]);
 }
 
@@ -49,29 +49,29 @@
 /// the message as received.
 #[tokio::test]
 async fn a_complete_message_is_delivered_after_its_call_is_cancelled() {
-    let (arrivals, rx) = arrivals();
+    let (transfers, rx) = transfers();
     let piece = piece(transfer::pack(&message(1)), 3);
     {
-        let mut call = Box::pin(arrivals.take(NOW, piece.clone()));
+        let mut call = Box::pin(transfers.receive(NOW, piece.clone()));
         let is_pending =
             future::poll_fn(|cx| Poll::Ready(call.as_mut().poll(cx).is_pending())).await;
         assert!(is_pending, "another thread decodes the message");
     }
-    assert_eq!(arrivals.take(NOW, piece.clone()).await.unwrap(), piece.total);
+    assert_eq!(transfers.receive(NOW, piece.clone()).await.unwrap(), piece.total);
     assert_eq!(delivered(&rx), vec![message(1)]);
 }
 
 /// Guards against delivery of undecodable content and of messages with a forged sender.
 #[tokio::test]
 async fn an_invalid_message_is_rejected_and_discarded() {
-    let (arrivals, rx) = arrivals();
+    let (transfers, rx) = transfers();
     let malformed = piece(b"nonsense".to_vec(), 3);
     for _ in 0..2 {
-        let rejected = arrivals.take(NOW, malformed.clone()).await;
+        let rejected = transfers.receive(NOW, malformed.clone()).await;
         assert!(matches!(rejected, Err(TransferError::Message { .. })), "{rejected:?}");
     }
     let other_sender = piece(transfer::pack(&message(9)), 3);
-    let rejected = arrivals.take(NOW, other_sender).await;
+    let rejected = transfers.receive(NOW, other_sender).await;
     assert!(matches!(rejected, Err(TransferError::Sender)), "{rejected:?}");
     assert!(rx.try_recv().is_err());
 }
