--- a/crates/cherrystream-control/src/place.rs
+++ b/crates/cherrystream-control/src/member_slot.rs
@@ -39,7 +39,7 @@
 
 /// A member slot in the group.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct MemberSlot {
     /// Number and disk of this replica.
     pub identity: Identity,
     /// RPC addresses by number, this replica included.
@@ -52,7 +52,7 @@
     pub may_bootstrap: bool,
 }
 
-impl Place {
+impl MemberSlot {
     /// Returns the options of the replicated log.
     pub fn raft_options(&self) -> raft::Options {
         let addresses = if self.fixed { BTreeMap::new() } else { self.addresses.clone() };
@@ -84,7 +84,7 @@
 }
 
 /// Context for finding a member slot, besides the settings.
-pub struct Finder<'a> {
+pub struct FindContext<'a> {
     /// Failure domain of this host.
     pub failure_domain: &'a str,
     /// Key shared by the processes of the system.
@@ -101,14 +101,14 @@
 pub async fn find(
     settings: &ControlSettings,
     folder: &impl Folder,
-    finder: &Finder<'_>,
-) -> Result<Place> {
+    cx: &FindContext<'_>,
+) -> Result<MemberSlot> {
     let new_disk = uuid::Uuid::new_v4().to_string();
-    let failure_domain = finder.failure_domain.to_string();
+    let failure_domain = cx.failure_domain.to_string();
     let Some(seeds) = &settings.seeds else {
         let addresses = settings.replicas.iter().map(|r| (r.replica, r.rpc_address.clone()));
         let identity = Identity { replica: settings.replica, disk: new_disk };
-        return Ok(Place {
+        return Ok(MemberSlot {
             identity,
             addresses: addresses.collect(),
             fixed: true,
@@ -126,14 +126,14 @@
         // A replica that stopped before the bootstrap completed continues it.
         let may_bootstrap = settings.found || bootstrap_marker::exists(folder)?;
         let identity = stored.identity;
-        return Ok(Place { identity, addresses, fixed: false, failure_domain, may_bootstrap });
+        return Ok(MemberSlot { identity, addresses, fixed: false, failure_domain, may_bootstrap });
     }
     let own = seeds.iter().position(|address| *address == settings.rpc_address);
     if let Some(position) = own.filter(|_| settings.found) {
         bootstrap_marker::write(&mut folder.fork())?;
         let identity = Identity { replica: position as u64 + 1, disk: new_disk };
         let addresses = slots;
-        return Ok(Place {
+        return Ok(MemberSlot {
             identity,
             addresses,
             fixed: false,
@@ -152,16 +152,16 @@
     let standby = Standby::new(seeds);
     standby.learn(contacts::read(folder).into_iter().filter(|a| *a != settings.rpc_address));
     let server = standby.clone();
-    let key = finder.key.cloned();
-    let rpc = rpc_server::serve(server, &settings.rpc_address, key, finder.metrics.clone());
+    let key = cx.key.cloned();
+    let rpc = rpc_server::serve(server, &settings.rpc_address, key, cx.metrics.clone());
     let rpc = rpc.await?;
-    let joiner = Joiner { standby: &standby, request: &request, key: finder.key };
+    let joiner = Joiner { standby: &standby, request: &request, key: cx.key };
     let (replica, addresses) = joiner.join(folder).await;
     let _ = rpc.stop();
     rpc.stopped().await;
     log::info!("control: joins the group as replica {replica}");
     let identity = Identity { replica, disk: new_disk };
-    Ok(Place { identity, addresses, fixed: false, failure_domain, may_bootstrap: false })
+    Ok(MemberSlot { identity, addresses, fixed: false, failure_domain, may_bootstrap: false })
 }
 
 /// Returns the member slots of a group that the seeds bootstrap. Slots without a seed are vacant.
@@ -190,7 +190,7 @@
         loop {
             let address = self.standby.address(attempt);
             attempt += 1;
-            if let Some(reply) = ask(&address, self.request, self.key).await {
+            if let Some(reply) = request(&address, self.request, self.key).await {
                 if let Some(replica) = reply.replica {
                     return (replica, by_number(&reply.addresses));
                 }
@@ -221,7 +221,11 @@
 }
 
 /// Requests a member slot from one replica. Returns `None` without a response.
-pub async fn ask(address: &str, request: &JoinRequest, key: Option<&Secret>) -> Option<JoinReply> {
+pub async fn request(
+    address: &str,
+    request: &JoinRequest,
+    key: Option<&Secret>,
+) -> Option<JoinReply> {
     if address == request.address {
         return None;
     }
--- a/crates/cherrystream-control/src/role.rs
+++ b/crates/cherrystream-control/src/role.rs
@@ -7,11 +7,11 @@
 use crate::folder::DiskFolder;
 use crate::handle::{Event, Handle};
 use crate::incoming_transfers::IncomingTransfers;
+use crate::member_slot::{self, FindContext, MemberSlot};
 use crate::metrics::Metrics;
 use crate::operators::Operators;
 use crate::orders::Orders;
 use crate::peers::Peers;
-use crate::place::{self, Finder, Place};
 use crate::platform;
 use crate::reach::Reach;
 use crate::registrar::Registrar;
@@ -186,7 +186,7 @@
         let addresses = handle.known_addresses();
         turn += 1;
         let Some(address) = addresses.get(turn % addresses.len().max(1)) else { continue };
-        let reply = place::ask(address, &request, key.as_ref()).await;
+        let reply = member_slot::request(address, &request, key.as_ref()).await;
         if reply.is_some_and(|reply| reply.place_lost) {
             let _ = handle.events.send(Event::Replaced);
         }
@@ -197,10 +197,13 @@
     settings: &ControlSettings,
     cx: &Context,
     folder: &DiskFolder,
-) -> Result<Place> {
-    let finder =
-        Finder { failure_domain: &cx.failure_domain, key: cx.key.as_ref(), metrics: &cx.metrics };
-    place::find(settings, folder, &finder).await
+) -> Result<MemberSlot> {
+    let finder = FindContext {
+        failure_domain: &cx.failure_domain,
+        key: cx.key.as_ref(),
+        metrics: &cx.metrics,
+    };
+    member_slot::find(settings, folder, &finder).await
 }
 
 fn rollout_limits(settings: &ControlSettings) -> Limits {
--- a/crates/cherrystream-control/src/stored_identity.rs
+++ b/crates/cherrystream-control/src/stored_identity.rs
@@ -2,7 +2,7 @@
 
 use crate::errors::{self, Result};
 use crate::folder::Folder;
-use crate::place;
+use crate::member_slot;
 use crate::records::{Reader, Record};
 use crate::store::{file_name, file_number};
 use cherrystream_schema::messages::Command;
@@ -67,6 +67,6 @@
         _ => None,
     };
     if let Some(members) = members {
-        stored.addresses.extend(place::by_number(&members.addresses));
+        stored.addresses.extend(member_slot::by_number(&members.addresses));
     }
 }
--- a/crates/cherrystream-control/tests/place.rs
+++ b/crates/cherrystream-control/tests/member_slot.rs
@@ -2,14 +2,14 @@
 
 use cherrystream_control::bootstrap_marker;
 use cherrystream_control::folder::DiskFolder;
+use cherrystream_control::member_slot::{self, FindContext, MemberSlot};
 use cherrystream_control::metrics::Metrics;
-use cherrystream_control::place::{self, Finder, Place};
 use cherrystream_control::store::Store;
 use cherrystream_core::settings;
 use std::path::Path;
 
 /// Finds the member slot of the first of three seeds.
-async fn find(folder: &Path, found: bool) -> Place {
+async fn find(folder: &Path, found: bool) -> MemberSlot {
     let text = format!(
         "host: core-1\nfailure_domain: z\nclosed_network: true\ncontrol:\n  rpc_address: \
          10.0.0.1:7620\n  api_address: 10.0.0.1:8306\n  data_folder: {}\n  found: {found}\n  \
@@ -19,9 +19,9 @@
     );
     let all = settings::read(&text).unwrap();
     let metrics = Metrics::default();
-    let finder = Finder { failure_domain: "z", key: None, metrics: &metrics };
+    let cx = FindContext { failure_domain: "z", key: None, metrics: &metrics };
     let disk = DiskFolder::try_new(folder).unwrap();
-    place::find(all.control.as_ref().unwrap(), &disk, &finder).await.unwrap()
+    member_slot::find(all.control.as_ref().unwrap(), &disk, &cx).await.unwrap()
 }
 
 /// Guards against a group that is never bootstrapped because a replica stopped too early: the
