--- a/crates/cherrystream-bench/src/spread/after.rs
+++ b/crates/cherrystream-bench/src/spread/after.rs
@@ -148,7 +148,7 @@
             let (call, req) = self.hosts[host].heartbeat();
             let (replica, from) = (self.hosts[host].replica, self.node(host));
             let heard = START.earlier(waited).unwrap_or_default();
-            self.replicas[replica].reach.hear(heard, &req);
+            self.replicas[replica].reach.record_heartbeat(heard, &req);
             self.events.add(heard + CALL, Event::CallLate { host, call });
             let waiting = Waiting { replica, from, call, req, until: heard + WAIT };
             self.events.add(START, Event::Look(waiting));
@@ -189,7 +189,7 @@
         let Message { from, to, body, .. } = message;
         match body {
             Body::Sync { call, req } => {
-                self.replicas[to].reach.hear(now, &req);
+                self.replicas[to].reach.record_heartbeat(now, &req);
                 let until = now + WAIT;
                 let known = req.fetching.as_ref().map_or(req.held, |f| f.id.to.max(req.held));
                 // No change comes any more that would end the wait.
--- a/crates/cherrystream-bench/src/spread/after/replica.rs
+++ b/crates/cherrystream-bench/src/spread/after/replica.rs
@@ -1,8 +1,8 @@
 //! A replica as daemons see it, after `control::rpc_server`.
 
 use super::Served;
+use cherrystream_control::daemon_registry::DaemonRegistry;
 use cherrystream_control::distribution::{Distribution, Lacking};
-use cherrystream_control::reach::Reach;
 use cherrystream_core::state::ControlState;
 use cherrystream_core::units::Timestamp;
 use cherrystream_schema::messages::{ChunkRequest, SyncReply, SyncRequest};
@@ -15,7 +15,7 @@
 /// A replica.
 pub struct Replica {
     /// The daemons that it hears.
-    pub reach: Reach,
+    pub reach: DaemonRegistry,
     distribution: Distribution,
     failure_domain: String,
 }
@@ -25,7 +25,7 @@
     pub fn new(domain: usize) -> Replica {
         let failure_domain = format!("domain-{domain}");
         Replica {
-            reach: Reach::default(),
+            reach: DaemonRegistry::default(),
             distribution: Distribution::new(&failure_domain),
             failure_domain,
         }
--- a/crates/cherrystream-control/src/reach.rs
+++ b/crates/cherrystream-control/src/daemon_registry.rs
@@ -25,20 +25,20 @@
 
 /// The last heartbeat of each daemon, by host.
 #[derive(Debug, Default)]
-pub struct Reach {
+pub struct DaemonRegistry {
     last_heartbeats: Mutex<BTreeMap<String, Heartbeat>>,
 }
 
-impl Reach {
+impl DaemonRegistry {
     /// Records a heartbeat.
-    pub fn hear(&self, now: Timestamp, req: &SyncRequest) {
+    pub fn record_heartbeat(&self, now: Timestamp, req: &SyncRequest) {
         let wait = Duration::from_millis(req.wait_ms);
         let heartbeat = Heartbeat { record: req.record.clone(), held: req.held, wait, at: now };
         self.last_heartbeats.lock().insert(req.record.host.clone(), heartbeat);
     }
 
     /// Returns whether the daemon of a host is reachable and holds at least a revision.
-    pub fn is_there(&self, now: Timestamp, host: &str, revision: Revision) -> bool {
+    pub fn is_available(&self, now: Timestamp, host: &str, revision: Revision) -> bool {
         let heartbeats = self.last_heartbeats.lock();
         heartbeats.get(host).is_some_and(|heartbeat| {
             let silence = heartbeat.wait + heartbeat.wait + HOLDER_GRACE;
@@ -80,7 +80,7 @@
 }
 
 /// Merges the statuses from several replicas. The most recent status of each daemon wins.
-pub fn join(all: Vec<DaemonStatus>) -> BTreeMap<String, DaemonStatus> {
+pub fn merge_statuses(all: Vec<DaemonStatus>) -> BTreeMap<String, DaemonStatus> {
     let mut merged = BTreeMap::<String, DaemonStatus>::new();
     for status in all {
         match merged.get(&status.host) {
--- a/crates/cherrystream-control/src/distribution.rs
+++ b/crates/cherrystream-control/src/distribution.rs
@@ -1,6 +1,6 @@
 //! What a daemon lacks of the shared state: short updates at once, long ones as an offer to fetch them.
 
-use crate::reach::Reach;
+use crate::daemon_registry::DaemonRegistry;
 use cherrystream_core::distribution::{
     EncodedUpdate, FetchScheduler, FetchSource, MAX_INLINE_WEIGHT, Requester, UpdateCache,
 };
@@ -53,7 +53,7 @@
         now: Timestamp,
         state: &RwLock<ControlState>,
         req: &SyncRequest,
-        reach: &Reach,
+        reach: &DaemonRegistry,
     ) -> Lacking {
         let requester = self.requester(&req.record.host, &req.record.failure_domain);
         let step = state.read().update_kind_since(req.held);
@@ -82,7 +82,7 @@
         if req.fetching.as_ref().is_some_and(|f| self.has(f) && !overtakes(&id, f)) {
             return Lacking::Nothing;
         }
-        let is_there = |host: &str| reach.is_there(now, host, id.to);
+        let is_there = |host: &str| reach.is_available(now, host, id.to);
         match self.scheduler.lock().source(now, requester, id, is_there) {
             FetchSource::Replica => {
                 let first = encoded.chunk(0, FIRST_CHUNK).map(|data| chunks::encode(0, data));
--- a/crates/cherrystream-control/src/operators.rs
+++ b/crates/cherrystream-control/src/operators.rs
@@ -1,8 +1,8 @@
 //! Operators' calls: intents, plans, confirmations, configuration and status.
 
+use crate::daemon_registry::{self, DaemonRegistry};
 use crate::handle::{Handle, NoResult};
 use crate::peers::Line;
-use crate::reach::{self, Reach};
 use cherrystream_core::errors::Error;
 use cherrystream_core::plan;
 use cherrystream_core::rollout;
@@ -41,7 +41,7 @@
     /// Lines to the other replicas.
     pub lines: Arc<BTreeMap<u64, Arc<Line>>>,
     /// Daemons that this replica hears.
-    pub reach: Arc<Reach>,
+    pub reach: Arc<DaemonRegistry>,
 }
 
 impl Operators {
@@ -244,7 +244,7 @@
             asked.spawn(heard_by(line.clone()));
         }
         all.extend(asked.join_all().await.into_iter().flatten());
-        let mut joined = reach::join(all);
+        let mut joined = daemon_registry::merge_statuses(all);
         for (host, record) in &self.handle.state.read().shared().hosts {
             joined.entry(host.clone()).or_insert_with(|| DaemonStatus {
                 host: host.clone(),
--- a/crates/cherrystream-control/src/role.rs
+++ b/crates/cherrystream-control/src/role.rs
@@ -1,6 +1,7 @@
 //! Puts the parts of the control role together.
 
 use crate::api::{Api, Operator};
+use crate::daemon_registry::DaemonRegistry;
 use crate::distribution::Distribution;
 use crate::driver;
 use crate::errors::{self, Error, Result};
@@ -13,7 +14,6 @@
 use crate::orders::Orders;
 use crate::peers::Peers;
 use crate::platform;
-use crate::reach::Reach;
 use crate::registrar::Registrar;
 use crate::release;
 use crate::rollouts::{self, Rollouts};
@@ -89,7 +89,7 @@
             };
             asking.spawn(ask_to_be_heard(handle.clone(), request, cx.key.clone()));
         }
-        let reach = Arc::new(Reach::default());
+        let reach = Arc::new(DaemonRegistry::default());
         // Calls have connections of their own, so that no message of the log waits behind an order.
         let lines = lines.into_iter().map(|(id, line)| (id, Arc::new(line.sibling())));
         let lines = Arc::new(lines.collect::<BTreeMap<_, _>>());
--- a/crates/cherrystream-control/src/rpc_server.rs
+++ b/crates/cherrystream-control/src/rpc_server.rs
@@ -1,5 +1,6 @@
 //! The RPC interface of this replica: for daemons, and for the other replicas.
 
+use crate::daemon_registry::DaemonRegistry;
 use crate::distribution::{Distribution, Lacking};
 use crate::errors::{Error, Result};
 use crate::handle::{Event, Handle, NoResult};
@@ -7,7 +8,6 @@
 use crate::metrics::Metrics;
 use crate::operators::Operators;
 use crate::peers::Line;
-use crate::reach::Reach;
 use crate::registrar::Registrar;
 use crate::rollouts::Rollouts;
 use cherrystream_core::instances;
@@ -63,7 +63,7 @@
     /// Lines to the other replicas.
     pub lines: Arc<BTreeMap<u64, Arc<Line>>>,
     /// Daemons heard.
-    pub reach: Arc<Reach>,
+    pub reach: Arc<DaemonRegistry>,
     /// Updates for daemons.
     pub distribution: Arc<Distribution>,
     /// Operators' calls.
@@ -256,7 +256,7 @@
 
     async fn sync(&self, req: SyncRequest) -> RpcResult<SyncReply> {
         self.metrics.heartbeats.inc();
-        self.reach.hear(self.handle.clock.now(), &req);
+        self.reach.record_heartbeat(self.handle.clock.now(), &req);
         if let Some(tally) = req.tally.clone() {
             let HostRecord { host, incarnation, .. } = req.record.clone();
             self.rollouts.hear(HostTally { host, incarnation, tally });
