--- a/crates/cherrystream-control/src/driver.rs
+++ b/crates/cherrystream-control/src/driver.rs
@@ -25,7 +25,7 @@
 
 /// Longest time between two ticks of the Raft state machine.
 const TICK: Duration = Duration::from_millis(20);
-/// Events handled before the log is flushed. They share one sync.
+/// Largest number of events handled before the log is flushed. They share one sync.
 const MAX_EVENTS_PER_FLUSH: usize = 1_024;
 /// Time between attempts to write to a full disk.
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(200);
