--- a/crates/cherrystream-standin/src/backend.rs
+++ b/crates/cherrystream-standin/src/backend.rs
@@ -1,6 +1,6 @@
-//! A stand-in backend server: it works, drains, starts cold, sheds load, lies and breaks.
+//! Stand-in backend server with configurable service times and faults.
 
-use crate::counters::{Counters, Counts, Flight};
+use crate::counters::{Counters, Counts, InFlight};
 use crate::faults::Faults;
 use crate::record::Record;
 use bytes::Bytes;
@@ -23,37 +23,37 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::Instant;
 
-/// Largest body of a fault switch.
-const FAULTS_BYTES: usize = 64 * 1024;
-/// Size of the pieces of a streamed answer.
-const PIECE: usize = 16 * 1024;
-/// Time for which a request runs that ends the process.
-const ENDS_AFTER: Duration = Duration::from_millis(30);
-/// Exit code of a process that a request has ended.
+/// Largest body of a request that sets faults, in bytes.
+const MAX_FAULTS_BYTES: usize = 64 * 1024;
+/// Chunk size of a streamed answer, in bytes.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Time from the start of a request that crashes the process to the crash.
+const CRASH_DELAY: Duration = Duration::from_millis(30);
+/// Exit code of a process that a request has crashed.
 pub const ENDED: i32 = 70;
-/// Header with the identifier of the call.
-const CALL: &str = "cherrystream-call";
-/// Header of a request that fails before it would end the process.
-const FAILS: &str = "standin-fails";
-/// Header with the time that remains.
-const DEADLINE_MS: &str = "cherrystream-deadline-ms";
+/// Header with the identifier of a call.
+const CALL_HEADER: &str = "cherrystream-call";
+/// Header of a request that fails instead of crashing the process.
+const FAILS_HEADER: &str = "standin-fails";
+/// Header with the remaining time of a request, in milliseconds.
+const DEADLINE_MS_HEADER: &str = "cherrystream-deadline-ms";
 
 /// Settings of a stand-in backend server.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Its name, told in each answer.
+    /// Name of the server, returned in each answer.
     pub name: String,
-    /// Requests that it works on at once; more wait.
+    /// Requests processed concurrently; further ones wait.
     pub slots: usize,
-    /// Mean time of the work on a request.
+    /// Mean service time of a request.
     pub work: Duration,
-    /// Time by which the load endpoint lags.
+    /// Delay with which the load endpoint reports a change.
     pub load_lag: Duration,
-    /// Time added for the way between failure domains, there and back.
+    /// Round-trip time between failure domains, added to each request.
     pub distance: Duration,
-    /// Seed of the random times.
+    /// Seed of the random service times.
     pub seed: u64,
-    /// Beginning of the paths of requests that end the process.
+    /// Path prefix of requests that crash the process.
     pub ends_on: Option<String>,
 }
 
@@ -94,7 +94,7 @@
     slots: usize,
 }
 
-/// Answer to work.
+/// Answer to a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkAnswer {
     /// Name of the backend server.
@@ -109,15 +109,15 @@
     pub bytes: u64,
     /// Hash of the request's body.
     pub hash: u64,
-    /// Number of the run at this backend server.
+    /// Number of the request, counted by this backend server.
     pub run: u64,
-    /// Headers of the request, where its query asks for them with `tell_head=1`.
+    /// Headers of the request, if its query contains `tell_head=1`.
     #[serde(default)]
     pub head: Vec<(String, String)>,
 }
 
 impl WorkAnswer {
-    /// Returns a header of the request, where it was told.
+    /// Returns a header of the request, if the answer contains it.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.iter().find(|(other, _)| other == name).map(|(_, value)| value.as_str())
     }
@@ -147,13 +147,13 @@
         .await;
     }
 
-    /// Switches faults.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: Faults) {
         *self.stalled_until.lock() = Instant::now() + Duration::from_millis(faults.stall_ms);
         *self.faults.lock() = faults;
     }
 
-    /// Returns what was counted.
+    /// Returns the current counts.
     pub fn counts(&self) -> Counts {
         self.counters.counts()
     }
@@ -163,20 +163,20 @@
             (&Method::GET, "/health") => self.health(),
             (&Method::GET, "/load") => self.load(),
             (&Method::GET, "/standin/counts") => json(StatusCode::OK, &self.counts()),
-            (&Method::POST, "/standin/faults") => self.switch(req).await,
+            (&Method::POST, "/standin/faults") => self.update_faults(req).await,
             _ => self.work(req).await,
         }
     }
 
     fn health(&self) -> Response<Body> {
-        self.counters.note_measured();
+        self.counters.record_measured();
         let state = self.faults.lock().state.unwrap_or(ServerState::Live);
         json(StatusCode::OK, &HealthAnswer { state })
     }
 
-    /// The load endpoint lags, and can be made to lie.
+    /// Reports the load with a delay, or the load that the faults claim.
     fn load(&self) -> Response<Body> {
-        self.counters.note_measured();
+        self.counters.record_measured();
         let now = Instant::now();
         let mut past = self.load.lock();
         past.push((now, self.counters.in_flight.load(Ordering::Relaxed)));
@@ -189,10 +189,10 @@
         json(StatusCode::OK, &answer)
     }
 
-    async fn switch(&self, req: Request<Incoming>) -> Response<Body> {
-        let read = body::read_start(body::incoming(req.into_body()), FAULTS_BYTES).await;
+    async fn update_faults(&self, req: Request<Incoming>) -> Response<Body> {
+        let read = body::read_start(body::incoming(req.into_body()), MAX_FAULTS_BYTES).await;
         let Ok(Start::Whole(bytes)) = read else {
-            return json(StatusCode::BAD_REQUEST, &"the faults cannot be read");
+            return json(StatusCode::BAD_REQUEST, &"the body is too large or broke off");
         };
         match serde_json::from_slice::<Faults>(&bytes) {
             Ok(faults) => {
@@ -209,17 +209,17 @@
             self.counters.shed.fetch_add(1, Ordering::Relaxed);
             return json(StatusCode::SERVICE_UNAVAILABLE, &"all slots are taken");
         }
-        let mut flight = Flight::start(&self.counters);
+        let mut in_flight = InFlight::start(&self.counters);
         let Ok(_slot) = self.slots.acquire().await else {
             return json(StatusCode::SERVICE_UNAVAILABLE, &"closed");
         };
-        let call = req.headers().get(CALL).cloned();
+        let call = req.headers().get(CALL_HEADER).cloned();
         let mut res = self.run(req, &faults).await;
-        flight.end();
+        in_flight.finish();
         if let Some(call) = call.filter(|_| !faults.wrong_call) {
-            res.headers_mut().insert(CALL, call);
+            res.headers_mut().insert(CALL_HEADER, call);
         } else if faults.wrong_call {
-            res.headers_mut().insert(CALL, header::HeaderValue::from_static("another-call"));
+            res.headers_mut().insert(CALL_HEADER, header::HeaderValue::from_static("another-call"));
         }
         res
     }
@@ -233,15 +233,15 @@
             return json(StatusCode::INTERNAL_SERVER_ERROR, &e.to_string());
         }
         if self.ends_on(parts.uri.path()) {
-            if !parts.headers.contains_key(FAILS) {
-                self.end().await;
+            if !parts.headers.contains_key(FAILS_HEADER) {
+                self.crash().await;
             }
-            return json(StatusCode::INTERNAL_SERVER_ERROR, &"failed before it ended the process");
+            return json(StatusCode::INTERNAL_SERVER_ERROR, &"failed before it crashed the process");
         }
-        if self.happens(faults.fail_share) {
+        if self.occurs(faults.fail_share) {
             return json(StatusCode::INTERNAL_SERVER_ERROR, &"failed fast");
         }
-        let Ok((bytes, hash)) = drain(incoming).await else {
+        let Ok((bytes, hash)) = read_body(incoming).await else {
             return json(StatusCode::BAD_REQUEST, &"the body broke off");
         };
         if !self.spend_time(&parts.headers, &parts.uri, faults).await {
@@ -249,7 +249,7 @@
         }
         self.counters.finished.fetch_add(1, Ordering::Relaxed);
         if let Some(size) = number_in(&parts.uri, "answer_bytes") {
-            return streamed(size as usize, self.happens(faults.break_share));
+            return streamed(size as usize, self.occurs(faults.break_share));
         }
         let answer = WorkAnswer {
             server: self.opts.name.clone(),
@@ -264,23 +264,23 @@
                 None => Vec::new(),
             },
         };
-        if self.happens(faults.drop_share) || self.happens(faults.break_share) {
+        if self.occurs(faults.drop_share) || self.occurs(faults.break_share) {
             return broken(&answer);
         }
         json(StatusCode::OK, &answer)
     }
 
-    /// Returns whether a request is one that ends the process.
+    /// Returns whether requests with this path crash the process.
     fn ends_on(&self, path: &str) -> bool {
         self.opts.ends_on.as_ref().is_some_and(|prefix| path.starts_with(prefix))
     }
 
-    async fn end(&self) {
-        tokio::time::sleep(ENDS_AFTER).await;
+    async fn crash(&self) {
+        tokio::time::sleep(CRASH_DELAY).await;
         std::process::exit(ENDED);
     }
 
-    /// Works for a random time; returns whether the deadline held.
+    /// Waits for the service time; returns whether the deadline was met.
     async fn spend_time(&self, headers: &HeaderMap, uri: &http::Uri, faults: &Faults) -> bool {
         let work = match number_in(uri, "work_ms") {
             Some(ms) => Duration::from_millis(ms),
@@ -289,10 +289,10 @@
         let slow = Duration::from_millis(faults.slow_ms);
         let end = Instant::now() + self.opts.distance + work + slow;
         let deadline = headers
-            .get(DEADLINE_MS)
+            .get(DEADLINE_MS_HEADER)
             .and_then(|v| v.to_str().ok()?.parse().ok())
             .map(|ms| Instant::now() + Duration::from_millis(ms));
-        // The runtime's timer counts whole milliseconds: no work must not become one of them.
+        // The runtime's timer rounds up to milliseconds, so a service time of zero must not sleep.
         if end > Instant::now() {
             tokio::time::sleep_until(deadline.map_or(end, |d| end.min(d))).await;
         }
@@ -306,18 +306,18 @@
         deadline.is_none_or(|d| Instant::now() < d)
     }
 
-    /// Times are spread exponentially around their mean.
+    /// Returns a service time from an exponential distribution.
     fn random_time(&self) -> Duration {
         let u: f64 = self.rng.lock().random_range(f64::EPSILON..1.0);
         self.opts.work.mul_f64(-u.ln())
     }
 
-    fn happens(&self, share: f64) -> bool {
+    fn occurs(&self, share: f64) -> bool {
         share > 0.0 && self.rng.lock().random::<f64>() < share
     }
 }
 
-async fn drain(incoming: Incoming) -> Result<(u64, u64), BoxError> {
+async fn read_body(incoming: Incoming) -> Result<(u64, u64), BoxError> {
     let mut body = body::incoming(incoming);
     let (mut bytes, mut hasher) = (0, DefaultHasher::new());
     while let Some(frame) = body.frame().await {
@@ -329,7 +329,7 @@
     Ok((bytes, hasher.finish()))
 }
 
-/// Returns the hash that a stand-in tells of a body.
+/// Returns the hash that a stand-in reports for a body.
 pub fn hash_of(bytes: &[u8]) -> u64 {
     let mut hasher = DefaultHasher::new();
     bytes.iter().for_each(|b| b.hash(&mut hasher));
@@ -354,12 +354,12 @@
     res
 }
 
-/// Returns an answer that announces more than it gives.
+/// Returns an answer whose body breaks off before its announced length.
 fn broken(answer: &WorkAnswer) -> Response<Body> {
     let bytes = serde_json::to_vec(answer).unwrap_or_default();
     let half = Bytes::copy_from_slice(&bytes[..bytes.len() / 2]);
     let mut res =
-        Response::new(pieces(vec![Ok(Frame::data(half)), Err("broken on purpose".into())]));
+        Response::new(chunks(vec![Ok(Frame::data(half)), Err("broken on purpose".into())]));
     res.headers_mut().insert(header::CONTENT_LENGTH, bytes.len().into());
     res
 }
@@ -369,13 +369,13 @@
     tokio::spawn(async move {
         let mut left = size;
         while left > 0 {
-            let piece = Bytes::from(vec![b'x'; left.min(PIECE)]);
-            left -= piece.len();
+            let chunk = Bytes::from(vec![b'x'; left.min(CHUNK_BYTES)]);
+            left -= chunk.len();
             if breaks && left < size / 2 {
                 let _ = tx.send(Err("broken on purpose".into())).await;
                 return;
             }
-            if tx.send(Ok(Frame::data(piece))).await.is_err() {
+            if tx.send(Ok(Frame::data(chunk))).await.is_err() {
                 return;
             }
         }
@@ -386,7 +386,7 @@
     res
 }
 
-fn pieces(pieces: Vec<Result<Frame<Bytes>, BoxError>>) -> Body {
-    let mut pieces = pieces.into_iter();
-    BodyExt::boxed(StreamBody::new(stream::poll_fn(move |_| std::task::Poll::Ready(pieces.next()))))
+fn chunks(chunks: Vec<Result<Frame<Bytes>, BoxError>>) -> Body {
+    let mut chunks = chunks.into_iter();
+    BodyExt::boxed(StreamBody::new(stream::poll_fn(move |_| std::task::Poll::Ready(chunks.next()))))
 }
--- a/crates/cherrystream-standin/src/counters.rs
+++ b/crates/cherrystream-standin/src/counters.rs
@@ -1,4 +1,4 @@
-//! What a stand-in backend server counts.
+//! Counters of a stand-in backend server.
 
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -6,26 +6,26 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a stand-in backend server has counted.
+/// Counts of a stand-in backend server since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Requests begun.
+    /// Requests started.
     pub runs: u64,
     /// Requests finished.
     pub finished: u64,
-    /// Requests whose caller left before the end.
+    /// Requests cancelled by their caller.
     pub cancelled: u64,
-    /// Questions to the health and load endpoints.
+    /// Requests to the health and load endpoints.
     pub measured: u64,
-    /// Most such questions in any one second.
+    /// Most such requests within any second.
     pub measured_peak: u64,
-    /// Requests refused.
+    /// Requests refused because all slots were taken.
     pub shed: u64,
     /// Most requests in flight.
     pub in_flight_peak: u64,
 }
 
-/// Counters of a stand-in backend server.
+/// Live counters of a stand-in backend server.
 #[derive(Default)]
 pub(crate) struct Counters {
     pub(crate) runs: AtomicU64,
@@ -38,12 +38,12 @@
 }
 
 impl Counters {
-    /// Notes a question to the health or load endpoint.
-    pub(crate) fn note_measured(&self) {
+    /// Records a request to the health or load endpoint.
+    pub(crate) fn record_measured(&self) {
         self.measured.lock().push(Instant::now());
     }
 
-    /// Returns what was counted.
+    /// Returns the current counts.
     pub(crate) fn counts(&self) -> Counts {
         let measured = self.measured.lock();
         Counts {
@@ -58,29 +58,29 @@
     }
 }
 
-/// A request in flight; one that is dropped before its end was cancelled.
-pub(crate) struct Flight<'a> {
+/// Guard of a request in flight. Dropping it before [`InFlight::finish`] counts as a cancellation.
+pub(crate) struct InFlight<'a> {
     counters: &'a Counters,
-    ended: bool,
+    is_finished: bool,
 }
 
-impl Flight<'_> {
-    pub(crate) fn start(counters: &Counters) -> Flight<'_> {
+impl InFlight<'_> {
+    pub(crate) fn start(counters: &Counters) -> InFlight<'_> {
         let now = counters.in_flight.fetch_add(1, Ordering::Relaxed) + 1;
         counters.in_flight_peak.fetch_max(now, Ordering::Relaxed);
-        Flight { counters, ended: false }
+        InFlight { counters, is_finished: false }
     }
 
-    /// Notes that the request was answered.
-    pub(crate) fn end(&mut self) {
-        self.ended = true;
+    /// Records that the request was answered.
+    pub(crate) fn finish(&mut self) {
+        self.is_finished = true;
     }
 }
 
-impl Drop for Flight<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         self.counters.in_flight.fetch_sub(1, Ordering::Relaxed);
-        if !self.ended {
+        if !self.is_finished {
             self.counters.cancelled.fetch_add(1, Ordering::Relaxed);
         }
     }
--- a/crates/cherrystream-standin/src/lib.rs
+++ b/crates/cherrystream-standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what cherrystream serves, and a load tool. Not shipped, but for the sample
-//! backend servers of `cherrystream try`.
+//! Stand-ins for backend servers and the platform's list of hosts, and a load generator. Only for
+//! tests and for the sample backend servers of `cherrystream try`.
 
 #![forbid(unsafe_code)]
 
--- a/crates/cherrystream-standin/src/load.rs
+++ b/crates/cherrystream-standin/src/load.rs
@@ -1,7 +1,7 @@
-//! An open-loop load: requests leave at times fixed beforehand, and their time counts from then.
+//! Open-loop load generator: latencies count from send times that are fixed in advance.
 
 use crate::profile::{LoadKind, Profile};
-use crate::report::{Report, Tally};
+use crate::report::{KindCounts, Report};
 use cherrystream_net::body::{self, Start};
 use cherrystream_net::pool::Pool;
 use http::{Request, Response, header};
@@ -16,27 +16,27 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Largest answer that is read whole.
-const ANSWER_BYTES: usize = 1 << 30;
-/// Step of the runtime's timer, with room for its lateness.
-const TIMER_STEP: Duration = Duration::from_millis(2);
-/// Longest time that is waited for an answer.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Largest answer, in bytes.
+const MAX_ANSWER_BYTES: usize = 1 << 30;
+/// Resolution of the runtime's timer, with a margin for its delay.
+const TIMER_RESOLUTION: Duration = Duration::from_millis(2);
+/// Time limit of a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Settings of a load.
+/// Options of a load.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Addresses that requests are sent to in turn.
+    /// Addresses that requests are sent to in round-robin order.
     pub targets: Vec<String>,
     /// Requests a second.
     pub rate: f64,
-    /// How long requests are sent.
+    /// Time for which requests are sent.
     pub duration: Duration,
-    /// Time of the way between caller and target, there and back.
+    /// Round-trip time between caller and target, added to each latency.
     pub distance: Duration,
-    /// Whether the load goes straight to a backend server, past the system.
+    /// Whether the load is sent directly to a backend server.
     pub direct: bool,
-    /// Seed of the random times and kinds.
+    /// Seed of the random send times and kinds.
     pub seed: u64,
 }
 
@@ -53,9 +53,9 @@
     }
 }
 
-/// Sends a load and reports on it.
+/// Generates a load and returns its report.
 pub async fn run(opts: &Options, profile: &Profile) -> Report {
-    let tallies = Arc::new(Mutex::new(BTreeMap::<String, Tally>::new()));
+    let counts_by_kind = Arc::new(Mutex::new(BTreeMap::<String, KindCounts>::new()));
     let pools: Vec<Arc<Pool>> =
         opts.targets.iter().map(|t| Arc::new(Pool::new(t, Counter::default()))).collect();
     let mut rng = SmallRng::seed_from_u64(opts.seed);
@@ -68,31 +68,31 @@
     let mut sending = tokio::task::JoinSet::new();
     let mut turn = 0;
     while at < opts.duration {
-        // Gaps between independent callers are spread exponentially.
+        // Intervals between independent callers are exponentially distributed.
         let u: f64 = rng.random_range(f64::EPSILON..1.0);
         at += Duration::from_secs_f64(-u.ln() / opts.rate);
         let kind = profile.kinds[shares.sample(&mut rng)].clone();
-        // Keys are never used twice, also not by another run with the same seed.
+        // Keys are unique, even over runs with the same seed.
         let key = format!("{:032x}", rand::rng().random::<u128>());
         let intended = start + at;
         wait_until(intended).await;
         turn += 1;
         let pool = pools[turn % pools.len()].clone();
-        let (tallies, opts) = (tallies.clone(), opts.clone());
+        let (counts_by_kind, opts) = (counts_by_kind.clone(), opts.clone());
         sending.spawn(async move {
             let sent = send(&pool, &opts, &kind, &key).await;
             let took = intended.elapsed() + opts.distance;
-            note(&mut tallies.lock(), &kind, sent, took);
+            record(&mut counts_by_kind.lock(), &kind, sent, took);
         });
     }
     while sending.join_next().await.is_some() {}
-    Report::new(&tallies.lock(), opts.duration.as_secs_f64())
+    Report::new(&counts_by_kind.lock(), opts.duration.as_secs_f64())
 }
 
-/// Waits to the point: the runtime's timer counts whole milliseconds, so the rest is waited for
-/// by looking at the clock.
+/// Waits until an exact time. Since the runtime's timer has a resolution of milliseconds, the last
+/// step polls the clock.
 async fn wait_until(at: Instant) {
-    if let Some(early) = at.checked_sub(TIMER_STEP)
+    if let Some(early) = at.checked_sub(TIMER_RESOLUTION)
         && early > Instant::now()
     {
         tokio::time::sleep_until(early).await;
@@ -102,22 +102,27 @@
     }
 }
 
-/// What became of one request.
+/// Outcome of one request, with the reason of a refusal.
 struct Sent {
     outcome: String,
     reason: Option<String>,
 }
 
-fn note(tallies: &mut BTreeMap<String, Tally>, kind: &LoadKind, sent: Sent, took: Duration) {
+fn record(
+    counts_by_kind: &mut BTreeMap<String, KindCounts>,
+    kind: &LoadKind,
+    sent: Sent,
+    took: Duration,
+) {
     let name = format!("{}/{}", kind.service, kind.kind);
-    let tally = tallies.entry(name).or_insert_with(|| Tally::new(kind.weight));
-    tally.sent += 1;
+    let counts = counts_by_kind.entry(name).or_insert_with(|| KindCounts::new(kind.weight));
+    counts.sent += 1;
     if sent.outcome == "answered" {
-        tally.times.saturating_record(took.as_micros() as u64);
+        counts.times.saturating_record(took.as_micros() as u64);
     }
-    *tally.outcomes.entry(sent.outcome).or_default() += 1;
+    *counts.outcomes.entry(sent.outcome).or_default() += 1;
     if let Some(reason) = sent.reason {
-        *tally.reasons.entry(reason).or_default() += 1;
+        *counts.reasons.entry(reason).or_default() += 1;
     }
 }
 
@@ -127,12 +132,12 @@
         let connection = pool.connection().await.ok()?;
         let res = pool.send(connection, req).await.ok()?;
         let (parts, body) = res.into_parts();
-        match body::read_start(body, ANSWER_BYTES).await {
+        match body::read_start(body, MAX_ANSWER_BYTES).await {
             Ok(Start::Whole(_)) => Some(Response::from_parts(parts, ())),
             _ => None,
         }
     };
-    match tokio::time::timeout(PATIENCE, exchange).await {
+    match tokio::time::timeout(REQUEST_TIMEOUT, exchange).await {
         Ok(Some(res)) => read(&res, opts.direct),
         _ => Sent { outcome: "broken".into(), reason: None },
     }
--- a/crates/cherrystream-standin/src/main.rs
+++ b/crates/cherrystream-standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs a stand-in backend server, a stand-in platform list, or a load.
+//! Runs a stand-in backend server, a stand-in for the platform's list of hosts, or a load.
 
 use argh::FromArgs;
 use cherrystream_net::errors::Error;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Stand-ins for what cherrystream serves, and a load tool.
+/// Stand-ins for backend servers and the platform's list of hosts, and a load generator.
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
@@ -36,22 +36,22 @@
     /// address to listen on; port 0 takes any free port, which is printed
     #[argh(option)]
     address: String,
-    /// name told in each answer
+    /// name of the server, returned in each answer
     #[argh(option, default = "String::from(\"backend\")")]
     name: String,
-    /// requests worked on at once
+    /// requests processed concurrently
     #[argh(option, default = "12")]
     slots: usize,
-    /// mean microseconds of work for a request
+    /// mean service time of a request, in microseconds
     #[argh(option, default = "2000")]
     work_us: u64,
-    /// microseconds of the way between failure domains, there and back
+    /// round-trip time between failure domains, in microseconds
     #[argh(option, default = "0")]
     distance_us: u64,
-    /// file that gets a line for each run
+    /// file that a line is appended to for each request
     #[argh(option)]
     record: Option<PathBuf>,
-    /// beginning of the paths of requests that end this process soon after they begin
+    /// path prefix of requests that crash this process shortly after their start
     #[argh(option)]
     ends_on: Option<String>,
 }
@@ -65,7 +65,7 @@
     address: String,
 }
 
-/// Send a load and report on it.
+/// Generate a load and print a report.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "load")]
 struct LoadArgs {
@@ -81,16 +81,16 @@
     /// prairie-hearth, hotel-linen, or a YAML file of kinds
     #[argh(option, default = "String::from(\"prairie-hearth\")")]
     profile: String,
-    /// microseconds of the way between caller and target, there and back
+    /// round-trip time between caller and target, in microseconds
     #[argh(option, default = "0")]
     distance_us: u64,
-    /// count answers without the system's headers, as a backend server gives them
+    /// accept answers without cherrystream's headers, as backend servers send them
     #[argh(switch)]
     direct: bool,
     /// print JSON
     #[argh(switch)]
     json: bool,
-    /// seed of the random times and kinds
+    /// seed of the random send times and kinds
     #[argh(option, default = "1")]
     seed: u64,
 }
@@ -98,12 +98,12 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     let args: Args = argh::from_env();
-    let done = match args.command {
+    let result = match args.command {
         Command::Backend(args) => run_backend(args).await,
         Command::Platform(args) => run_platform(args).await,
         Command::Load(args) => run_load(args).await,
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("standin: {e}");
@@ -166,7 +166,7 @@
     }
 }
 
-/// Listens and tells the address, so that whoever started this need not choose a port.
+/// Listens and prints the address, so that a port can be assigned by the system.
 async fn listen(address: &str) -> Result<TcpListener, String> {
     let listener = serve::listen(address).await.map_err(|e: Error| e.to_string())?;
     let local = listener.local_addr().map_err(|e| e.to_string())?;
--- a/crates/cherrystream-standin/src/platform.rs
+++ b/crates/cherrystream-standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's list of hosts, which can be changed over HTTP.
+//! Stand-in for the platform's list of hosts, which can be replaced over HTTP.
 
 use cherrystream_net::body::{self, Body, Start};
 use cherrystream_net::observe;
@@ -10,10 +10,10 @@
 use std::sync::Arc;
 use tokio::net::TcpListener;
 
-/// Largest list.
-const LIST_BYTES: usize = 1 << 20;
+/// Largest list, in bytes.
+const MAX_LIST_BYTES: usize = 1 << 20;
 
-/// The list.
+/// A server with the list of hosts.
 pub struct Platform {
     list: Mutex<PlatformList>,
 }
@@ -34,14 +34,14 @@
         .await;
     }
 
-    /// Sets the list.
+    /// Replaces the list.
     pub fn set(&self, list: PlatformList) {
         *self.list.lock() = list;
     }
 
     async fn answer(&self, req: Request<Incoming>) -> Response<Body> {
         if req.method() == Method::PUT {
-            let read = body::read_start(body::incoming(req.into_body()), LIST_BYTES).await;
+            let read = body::read_start(body::incoming(req.into_body()), MAX_LIST_BYTES).await;
             let list = match read {
                 Ok(Start::Whole(bytes)) => serde_json::from_slice(&bytes).ok(),
                 _ => None,
--- a/crates/cherrystream-standin/src/profile.rs
+++ b/crates/cherrystream-standin/src/profile.rs
@@ -1,12 +1,12 @@
-//! What a load consists of: kinds of request with their shares.
+//! Load profiles: kinds of requests with their shares.
 
 use serde::{Deserialize, Serialize};
 
-/// A kind of request in a load.
+/// A kind of request of a load.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadKind {
-    /// Service asked for.
+    /// Service that the request is sent to.
     pub service: String,
     /// Name in the report.
     pub kind: String,
@@ -14,18 +14,18 @@
     pub method: String,
     /// Path with query.
     pub path: String,
-    /// Requests of this kind for each of the others', as a weight.
+    /// Frequency of this kind, relative to the other kinds.
     pub share: f64,
-    /// What an answer is worth.
+    /// Value of an answer in the weighted share of served requests.
     #[serde(default = "one")]
     pub weight: f64,
-    /// Bytes of the body.
+    /// Size of the body, in bytes.
     #[serde(default)]
     pub body_bytes: usize,
-    /// Whether each request carries a new idempotency key.
+    /// Whether each request has a new idempotency key.
     #[serde(default)]
     pub once: bool,
-    /// Deadline told, in milliseconds.
+    /// Deadline sent with the request, in milliseconds.
     #[serde(default)]
     pub deadline_ms: Option<u64>,
 }
@@ -34,7 +34,7 @@
     1.0
 }
 
-/// A load.
+/// A load profile.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Profile {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Returns the load of Prairie Hearth Remittance.
+/// Returns the load profile of Prairie Hearth Remittance.
 pub fn prairie_hearth() -> Profile {
     Profile {
         kinds: vec![
@@ -77,7 +77,7 @@
     }
 }
 
-/// Returns the load of Hotel Linen Exchange.
+/// Returns the load profile of Hotel Linen Exchange.
 pub fn hotel_linen() -> Profile {
     Profile {
         kinds: vec![
--- a/crates/cherrystream-standin/src/record.rs
+++ b/crates/cherrystream-standin/src/record.rs
@@ -1,17 +1,17 @@
-//! The stand-in's own record of runs, to be counted from outside.
+//! Record of the requests that a stand-in has run, for tests to compare with callers' answers.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 use std::path::Path;
 
-/// A file with one line for each run.
+/// A file with one line for each request that ran.
 #[derive(Debug)]
 pub struct Record {
     file: parking_lot::Mutex<File>,
 }
 
 impl Record {
-    /// Opens a record at its end.
+    /// Opens a record for appending, and creates it if needed.
     ///
     /// # Errors
     ///
@@ -21,18 +21,18 @@
         Ok(Record { file: parking_lot::Mutex::new(file) })
     }
 
-    /// Adds a run: the key of the request, or its path if it has none.
+    /// Appends a run: the key of the request, or its path without a key.
     ///
     /// # Errors
     ///
     /// Fails when the file cannot be written.
     pub fn write(&self, run: &str) -> io::Result<()> {
-        // One write for the line, so that a kill leaves no half of it.
+        // A single write, so that a kill leaves no partial line.
         self.file.lock().write_all(format!("{run}\n").as_bytes())
     }
 }
 
-/// Returns the runs in a record.
+/// Returns the runs in a record, in order.
 ///
 /// # Errors
 ///
--- a/crates/cherrystream-standin/src/report.rs
+++ b/crates/cherrystream-standin/src/report.rs
@@ -1,19 +1,19 @@
-//! The report of a load.
+//! Report of a load.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Highest time that is told apart, in microseconds.
-const MICROS_AT_MOST: u64 = 120_000_000;
-/// Digits kept of each time.
-const DIGITS: u8 = 3;
+/// Highest latency in the histogram, in microseconds.
+const MAX_LATENCY_US: u64 = 120_000_000;
+/// Significant digits of latencies in the histogram.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What became of the requests of one kind.
+/// Counts and latencies of the requests of one kind.
 #[derive(Debug)]
-pub struct Tally {
-    /// Times of answered requests in microseconds, from the intended send.
+pub struct KindCounts {
+    /// Latencies of answered requests in microseconds, from the intended send time.
     pub times: Histogram<u64>,
     /// Requests sent.
     pub sent: u64,
@@ -21,15 +21,15 @@
     pub outcomes: BTreeMap<String, u64>,
     /// Requests by reason of refusal.
     pub reasons: BTreeMap<String, u64>,
-    /// What an answer is worth.
+    /// Value of an answer in the weighted share of served requests.
     pub weight: f64,
 }
 
-impl Tally {
-    /// Creates an empty tally.
-    pub fn new(weight: f64) -> Tally {
-        let times = Histogram::new_with_max(MICROS_AT_MOST, DIGITS);
-        Tally {
+impl KindCounts {
+    /// Creates empty counts.
+    pub fn new(weight: f64) -> KindCounts {
+        let times = Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS);
+        KindCounts {
             times: times.expect("the bounds are constants that fit"),
             sent: 0,
             outcomes: BTreeMap::new(),
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Adds another tally of the same kind.
-    pub fn add(&mut self, other: &Tally) {
+    /// Adds the counts of other requests.
+    pub fn add(&mut self, other: &KindCounts) {
         // Both histograms have the same bounds.
         let _ = self.times.add(&other.times);
         self.sent += other.sent;
@@ -63,48 +63,49 @@
     pub name: String,
     /// Requests sent.
     pub sent: u64,
-    /// Requests answered well.
+    /// Requests answered successfully.
     pub answered: u64,
     /// Requests by outcome.
     pub outcomes: BTreeMap<String, u64>,
     /// Requests by reason of refusal.
     pub reasons: BTreeMap<String, u64>,
-    /// Half of the answers came within this time, in microseconds.
+    /// Median latency, in microseconds.
     pub p50_us: u64,
-    /// 99 in 100 answers came within this time, in microseconds.
+    /// 99th percentile of the latency, in microseconds.
     pub p99_us: u64,
-    /// 999 in 1000 answers came within this time, in microseconds.
+    /// 99.9th percentile of the latency, in microseconds.
     pub p999_us: u64,
-    /// Longest time, in microseconds.
+    /// Highest latency, in microseconds.
     pub max_us: u64,
 }
 
-/// A report.
+/// Report of a load.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Lines by kind, then one for all.
+    /// One line for each kind, then one for all kinds.
     pub lines: Vec<Line>,
-    /// Worth of the answers as a share of the worth of all requests.
+    /// Value of the answered requests as a share of the value of all requests.
     pub weighted_served: f64,
-    /// Requests sent a second.
+    /// Requests sent per second.
     pub sent_per_second: f64,
 }
 
 impl Report {
-    /// Creates a report.
-    pub fn new(tallies: &BTreeMap<String, Tally>, seconds: f64) -> Report {
-        let mut lines: Vec<Line> = tallies.iter().map(|(name, t)| line(name, t)).collect();
-        let mut all = Tally::new(1.0);
-        tallies.values().for_each(|t| all.add(t));
+    /// Creates a report of a load that lasted this many seconds.
+    pub fn new(counts_by_kind: &BTreeMap<String, KindCounts>, seconds: f64) -> Report {
+        let mut lines: Vec<Line> = counts_by_kind.iter().map(|(name, t)| line(name, t)).collect();
+        let mut all = KindCounts::new(1.0);
+        counts_by_kind.values().for_each(|t| all.add(t));
         lines.push(line("all", &all));
-        let worth = |f: fn(&Tally) -> u64| -> f64 {
-            tallies.values().map(|t| t.weight * f(t) as f64).sum()
+        let value = |f: fn(&KindCounts) -> u64| -> f64 {
+            counts_by_kind.values().map(|t| t.weight * f(t) as f64).sum()
         };
-        let weighted_served = worth(Tally::answered) / worth(|t| t.sent).max(f64::MIN_POSITIVE);
+        let weighted_served =
+            value(KindCounts::answered) / value(|t| t.sent).max(f64::MIN_POSITIVE);
         Report { lines, weighted_served, sent_per_second: all.sent as f64 / seconds }
     }
 
-    /// Writes the report as a table.
+    /// Formats the report as a table.
     pub fn table(&self) -> String {
         let mut text = String::new();
         let _ = writeln!(
@@ -131,9 +132,9 @@
                 n("error"),
                 n("not-run"),
                 n("unknown") + n("broken"),
-                millis(l.p50_us),
-                millis(l.p99_us),
-                millis(l.p999_us)
+                milliseconds(l.p50_us),
+                milliseconds(l.p99_us),
+                milliseconds(l.p999_us)
             );
         }
         let _ = writeln!(
@@ -150,7 +151,7 @@
     }
 }
 
-fn line(name: &str, t: &Tally) -> Line {
+fn line(name: &str, t: &KindCounts) -> Line {
     Line {
         name: name.into(),
         sent: t.sent,
@@ -164,6 +165,6 @@
     }
 }
 
-fn millis(us: u64) -> f64 {
+fn milliseconds(us: u64) -> f64 {
     us as f64 / 1_000.0
 }
