--- a/crates/cherrystream-standin/src/backend.rs
+++ b/crates/cherrystream-standin/src/backend.rs
@@ -236,7 +236,10 @@
             if !parts.headers.contains_key(FAILS_HEADER) {
                 self.crash().await;
             }
-            return json(StatusCode::INTERNAL_SERVER_ERROR, &"failed before it crashed the process");
+            return json(
+                StatusCode::INTERNAL_SERVER_ERROR,
+                &"failed before it crashed the process",
+            );
         }
         if self.occurs(faults.fail_share) {
             return json(StatusCode::INTERNAL_SERVER_ERROR, &"failed fast");
