--- a/crates/cherrystream/tests/processes/access.rs
+++ b/crates/cherrystream/tests/processes/access.rs
@@ -1,4 +1,4 @@
-//! Who may do what: operators by token, processes by their shared key.
+//! Access control: operators authenticate by token, processes by their shared key.
 
 use super::support::client::{self, Ask};
 use super::support::site::{DaemonOptions, Site};
@@ -10,7 +10,7 @@
 const KEY: &str = "shared-key-of-all-processes-0123";
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nobody_changes_anything_without_a_token() {
+async fn the_control_api_refuses_calls_without_a_valid_token() {
     let mut site = Site::new(1);
     let file = site.folder.path().join("anna.token");
     fs::write(&file, TOKEN).unwrap();
@@ -40,11 +40,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn processes_refuse_others_without_the_shared_key() {
+async fn processes_refuse_connections_without_the_shared_key() {
     let mut site = Site::new(1);
     let file = site.folder.path().join("key");
     fs::write(&file, KEY).unwrap();
-    // `key_file` stands beside the roles, so it is put in front of the file.
+    // `key_file` is a setting of the process, so it is put at the beginning of the file.
     site.top_lines.push(format!("key_file: {}", file.display()));
     site.start_control(1);
     site.leader().await;
@@ -53,7 +53,7 @@
     site.put_service("quotes").await;
     site.put_server("quotes", "quotes-a", "host-a", &server).await;
     a.serves("quotes").await;
-    // A daemon with another key is not let in.
+    // A daemon with another key is refused.
     let wrong = site.folder.path().join("wrong");
     fs::write(&wrong, "another-key-of-some-process-0000").unwrap();
     site.top_lines = vec![format!("key_file: {}", wrong.display())];
--- a/crates/cherrystream/tests/processes/bad_input.rs
+++ b/crates/cherrystream/tests/processes/bad_input.rs
@@ -1,11 +1,11 @@
-//! Bad input at each port is refused with a reason, and nothing else is disturbed.
+//! Invalid input at each port is rejected with a reason and affects nothing else.
 
 use super::path;
 use super::support::client::Ask;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Sends raw bytes and returns what comes back until the other side closes.
+/// Sends raw bytes and returns what is received until the connection closes or 5 s pass.
 async fn raw(address: &str, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(bytes).await.unwrap();
@@ -16,7 +16,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn garbage_on_every_port_disturbs_nobody() {
+async fn garbage_on_every_port_affects_no_other_request() {
     let pair = path::pair(1).await;
     let garbage: Vec<u8> = (0..4096_u32).map(|i| (i * 131 % 251) as u8).collect();
     let ports = [pair.a.caller.clone(), pair.a.peer.clone(), pair.site.rpc(1), pair.site.api(1)];
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn two_lengths_in_one_request_are_refused() {
+async fn ambiguous_body_lengths_are_rejected() {
     let pair = path::pair(1).await;
     let smuggled = [
         "POST /w HTTP/1.1\r\nhost: quotes\r\ncontent-length: 4\r\ncontent-length: 30\r\n\r\nabcd",
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_head_that_is_too_large_is_refused() {
+async fn a_head_that_is_too_large_is_rejected() {
     let pair = path::pair(1).await;
     let head = format!("GET / HTTP/1.1\r\nhost: quotes\r\nx: {}\r\n\r\n", "y".repeat(200_000));
     let answer = raw(&pair.a.caller, head.as_bytes()).await;
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_requests_are_told_why() {
+async fn invalid_requests_are_rejected_with_a_reason() {
     let pair = path::pair(1).await;
     let cases = [
         (Ask::get("/x").service("nothing"), 404, "no-such-service"),
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_cannot_set_the_system_s_own_headers() {
+async fn a_caller_cannot_set_internal_headers() {
     let pair = path::pair(1).await;
     let ask = Ask::get("/work")
         .service("quotes")
--- a/crates/cherrystream/tests/processes/callers.rs
+++ b/crates/cherrystream/tests/processes/callers.rs
@@ -1,4 +1,4 @@
-//! A caller's whole session as a golden file: answered, not run, unknown, bad input.
+//! A caller's session as a golden file: answered, not run, unknown and invalid requests.
 
 use super::path;
 use super::support::client::{self, Answer, Ask};
@@ -7,24 +7,25 @@
 use serde_json::json;
 use std::fmt::Write;
 
-/// Bytes of a body that is longer than what sockets take at once.
+/// Size of a body that exceeds the socket buffers, in bytes.
 const LONG_BODY: usize = 100_000;
-/// Long bodies that are refused.
+/// Requests with a long body that are refused.
 const REFUSED_BODIES: u32 = 300;
-/// Headers that a caller relies on; times are left out, for they differ from run to run.
-const SHOWN: [&str; 3] = ["cherrystream-outcome", "cherrystream-reason", "cherrystream-replayed"];
+/// Headers of an answer in the golden file. Times differ between runs and are left out.
+const SHOWN_HEADERS: [&str; 3] =
+    ["cherrystream-outcome", "cherrystream-reason", "cherrystream-replayed"];
 
-fn tell(session: &mut String, what: &str, answer: &Answer) {
-    let _ = writeln!(session, "{what}\n    {}", answer.status);
-    for name in SHOWN {
+fn describe(session: &mut String, title: &str, answer: &Answer) {
+    let _ = writeln!(session, "{title}\n    {}", answer.status);
+    for name in SHOWN_HEADERS {
         if let Some(value) = answer.headers.get(name) {
             let _ = writeln!(session, "    {name}: {}", value.to_str().unwrap());
         }
     }
-    let comes_back = answer.headers.contains_key("retry-after")
+    let has_retry_time = answer.headers.contains_key("retry-after")
         && answer.headers.contains_key("cherrystream-retry-after-ms");
-    if comes_back {
-        let _ = writeln!(session, "    (told when to come back)");
+    if has_retry_time {
+        let _ = writeln!(session, "    (with a time to retry)");
     }
     if answer.outcome() != "answered" {
         let _ = writeln!(session, "    {}", String::from_utf8_lossy(&answer.body));
@@ -40,8 +41,8 @@
     let mut s = String::new();
     let read = Ask::get("/work").service("quotes");
     let order = Ask::post("/orders", "pay 20").service("quotes").key("order-1");
-    let call = async |s: &mut String, what: &str, ask: &Ask| {
-        tell(s, what, &pair.a.call(ask).await.unwrap());
+    let call = async |s: &mut String, title: &str, ask: &Ask| {
+        describe(s, title, &pair.a.call(ask).await.unwrap());
     };
     call(&mut s, "a read", &read).await;
     call(&mut s, "an order", &order).await;
@@ -70,7 +71,7 @@
     insta::assert_snapshot!(s);
 }
 
-/// A long body whose request is refused by its head alone is still on its way then.
+/// When a request is refused by its head, the rest of its long body is still being received.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_after_a_refused_long_body_is_answered_on_the_same_connection() {
     let pair = path::pair(1).await;
--- a/crates/cherrystream/tests/processes/control.rs
+++ b/crates/cherrystream/tests/processes/control.rs
@@ -1,5 +1,5 @@
-//! Accepted configuration survives: killed leaders, silent cuts, blank disks, torn and flipped
-//! bytes, daemons that restart while control is away.
+//! Accepted configuration survives killed leaders, partitions, lost disks, corrupt log files, and
+//! daemons that restart while control is unreachable.
 
 use super::path;
 use super::support::client::{self, Ask};
@@ -29,8 +29,8 @@
     files.map(|f| f.unwrap().path()).find(|p| p.to_string_lossy().contains("log-")).unwrap()
 }
 
-/// Waits until every replica votes.
-async fn whole(site: &Site) {
+/// Waits until every replica is a voter.
+async fn all_replicas_vote(site: &Site) {
     wait::until("all replicas vote", || async {
         let status = site.status().await?;
         status.needs_attention.is_empty().then_some(())
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_leader_loses_nothing_that_was_accepted() {
+async fn accepted_changes_survive_a_killed_leader() {
     let mut site = Site::with_control(3).await;
     let mut accepted = Vec::new();
     for round in 0..3 {
@@ -52,12 +52,12 @@
         site.kill_control(leader);
         assert_eq!(services(&site).await, accepted);
         site.start_control(leader);
-        whole(&site).await;
+        all_replicas_vote(&site).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leader_that_is_cut_off_silently_accepts_nothing_and_reverts_nothing() {
+async fn a_partitioned_leader_accepts_nothing_and_reverts_nothing() {
     let mut site = Site::new(3);
     let mut relays = Vec::new();
     for from in 1..=3_u64 {
@@ -80,12 +80,12 @@
             relay.set(Mode::Hold);
         }
     }
-    // The operator on the cut-off side is not told that the plan is accepted.
+    // On the side of the old leader the plan is not reported as accepted.
     let old_api = site.api(old);
     let on_lost_side = site.confirm(&old_api, &plan);
     let other = (1..=3).find(|r| *r != old).unwrap();
     let (lost, ()) = tokio::join!(on_lost_side, async {
-        // On the other side the same number of changes is accepted.
+        // The majority accepts the same number of changes.
         wait::until("the majority accepts", || async {
             let planned = site.intend(&site.api(other), &service("kept-side")).await?;
             let plan = planned.json()["plan"].as_str()?.to_string();
@@ -98,10 +98,10 @@
     for (_, relay) in &relays {
         relay.set(Mode::Pass);
     }
-    whole(&site).await;
+    all_replicas_vote(&site).await;
     let kept = services(&site).await;
     assert!(kept.contains(&"before".to_string()) && kept.contains(&"kept-side".to_string()));
-    // The old leader now tells the same as the others.
+    // The old leader now returns the same configuration as the others.
     let here = wait::until("the old leader answers", || async {
         let answer = client::send(&site.api(old), &Ask::get("/v1/config")).await?;
         (answer.status == 200).then_some(answer.json())
@@ -109,14 +109,14 @@
     .await;
     let here: Vec<&String> = here["config"]["services"].as_object().unwrap().keys().collect();
     assert_eq!(here, kept.iter().collect::<Vec<_>>());
-    // The plan that met the cut was made on what has changed since: it is refused now, or it was
-    // accepted as a whole; it is never half in force.
+    // The plan confirmed during the partition is based on an older revision. It is refused now, or
+    // it was accepted completely.
     let again = site.confirm(&site.api(old), &plan).await.unwrap();
     assert_eq!(again.status == 200, kept.contains(&"lost-side".to_string()));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_leader_that_wakes_up_tells_nothing_old() {
+async fn a_leader_that_resumes_after_a_freeze_serves_no_stale_configuration() {
     let mut site = Site::with_control(3).await;
     site.accept(service("first")).await;
     let old = site.leader().await;
@@ -129,7 +129,7 @@
     })
     .await;
     site.control(old).signal(Signal::SIGCONT);
-    // Whatever it answers, it is not the old configuration.
+    // Any successful answer has the new configuration.
     for _ in 0..20 {
         let answer = client::send(&site.api(old), &Ask::get("/v1/config")).await.unwrap();
         if answer.status == 200 {
@@ -153,45 +153,45 @@
     })
     .await;
     site.start_control(repaired);
-    whole(&site).await;
+    all_replicas_vote(&site).await;
     // Right after the repair, the leader's host is lost with its disk.
     site.kill_control(leader);
     fs::remove_dir_all(site.data_folder(leader)).unwrap();
     assert_eq!(services(&site).await, ["kept", "while-away"]);
     site.accept(service("after")).await;
     site.start_control(leader);
-    whole(&site).await;
+    all_replicas_vote(&site).await;
     assert_eq!(services(&site).await, ["after", "kept", "while-away"]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn two_blank_replicas_do_not_found_a_second_group() {
+async fn two_blank_replicas_do_not_bootstrap_a_second_group() {
     let mut site = Site::with_control(3).await;
     site.accept(service("kept")).await;
-    whole(&site).await;
+    all_replicas_vote(&site).await;
     for replica in [1, 2] {
         site.kill_control(replica);
         fs::remove_dir_all(site.data_folder(replica)).unwrap();
         site.start_control(replica);
     }
-    // The one that remembers has no quorum; the blank ones must not make one without it.
-    let told = wait::until("a blank replica answers", || async {
+    // The replica with state has no quorum, and the blank ones must not form one without it.
+    let status = wait::until("a blank replica answers", || async {
         let planned = site.intend(&site.api(1), &service("forgot")).await?;
         Some(planned.status.as_u16())
     })
     .await;
-    assert_eq!(told, 503);
+    assert_eq!(status, 503);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn hundreds_of_changes_come_back_after_a_torn_write_and_a_restart() {
+async fn a_torn_write_at_the_end_of_the_log_loses_no_accepted_change() {
     let mut site = Site::with_control(1).await;
     for n in 0..300 {
         site.accept(service(&format!("s-{n}"))).await;
     }
     let revision = site.status().await.unwrap().revision;
     site.kill_control(1);
-    // The last write was torn: a record begins and does not end.
+    // Appends a record that breaks off, as a torn write leaves it.
     let path = log_file(&site, 1);
     let mut bytes = fs::read(&path).unwrap();
     let torn = bytes[bytes.len() - 200..bytes.len() - 90].to_vec();
@@ -207,7 +207,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_flipped_bit_is_refused_loudly_and_nothing_is_dropped() {
+async fn a_corrupt_log_stops_the_replica_and_stays_unchanged() {
     let mut site = Site::with_control(3).await;
     for n in 0..20 {
         site.accept(service(&format!("s-{n}"))).await;
@@ -224,15 +224,15 @@
     assert_eq!(status.code(), Some(1));
     site.controls[leader as usize - 1] = None;
     let log = site.folder.path().join(format!("control-{leader}.log"));
-    let told = fs::read_to_string(log).unwrap();
-    assert!(told.contains("cannot be read at byte"), "{told}");
-    assert!(told.contains("Move the folder away"), "{told}");
+    let messages = fs::read_to_string(log).unwrap();
+    assert!(messages.contains("cannot be read at byte"), "{messages}");
+    assert!(messages.contains("Move the folder away"), "{messages}");
     assert_eq!(fs::read(&path).unwrap(), bytes);
     assert_eq!(services(&site).await.len(), 20);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_daemon_that_restarts_while_control_is_away_takes_the_newest_that_a_peer_holds() {
+async fn a_daemon_that_restarts_without_control_fetches_the_newest_configuration_from_a_peer() {
     let mut pair = path::pair(1).await;
     let lines = vec![format!("peers: [{}]", pair.a.peer)];
     let c = pair.site.start_daemon_with(
@@ -261,7 +261,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_daemon_cut_off_from_control_learns_of_a_change_from_a_peer() {
+async fn a_daemon_partitioned_from_control_receives_a_change_from_a_peer() {
     let site = Site::with_control(1).await;
     let relay = Relay::start(&site.address(7699), &site.rpc(1)).await;
     let a = site.start_daemon("host-a", "a", 1);
@@ -276,8 +276,8 @@
     site.accept(service("new")).await;
     site.in_force(&[&a]).await;
     let held = a.metric("cherrystream_revision_index").await;
-    // Calls from b to a carry the word of the newer revision.
-    wait::until("the change is in force at the cut-off daemon", || async {
+    // Answers of calls from b to a announce the newer revision.
+    wait::until("the change is in force at the partitioned daemon", || async {
         b.call(&Ask::get("/work").service("quotes")).await?;
         (b.metric("cherrystream_revision_index").await >= held).then_some(())
     })
@@ -285,9 +285,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_hands_the_leadership_over() {
+async fn a_graceful_stop_transfers_the_leadership() {
     let mut site = Site::with_control(3).await;
-    whole(&site).await;
+    all_replicas_vote(&site).await;
     let leader = site.leader().await;
     site.control(leader).signal(Signal::SIGTERM);
     let status = site.control(leader).ended().await;
--- a/crates/cherrystream/tests/processes/leaving.rs
+++ b/crates/cherrystream/tests/processes/leaving.rs
@@ -1,4 +1,4 @@
-//! Hosts that leave: planned stops cut nothing off, and no new work goes to them.
+//! Hosts that leave: graceful stops cut off no request, and leaving hosts receive no new requests.
 
 use super::path;
 use super::support::client::{self, Ask};
@@ -10,12 +10,12 @@
 use std::time::{Duration, Instant};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_of_a_host_cuts_off_no_request() {
+async fn a_graceful_stop_of_a_host_cuts_off_no_request() {
     let mut pair = path::pair(1).await;
     let stop = Arc::new(AtomicBool::new(false));
     let mut callers = tokio::task::JoinSet::new();
     for i in 0..16 {
-        // Callers of host-a go on; those of host-b leave it when they are told to.
+        // Callers of host-a stay; those of host-b change to host-a on `connection: close`.
         let (address, other) = match i % 2 {
             0 => (pair.a.caller.clone(), pair.a.caller.clone()),
             _ => (pair.b.caller.clone(), pair.a.caller.clone()),
@@ -47,13 +47,13 @@
         (client::counts(&pair.server_b.address).await.runs > 20).then_some(())
     })
     .await;
-    let look = async |path: &str| client::send(&pair.b.metrics, &Ask::get(path)).await;
-    assert_eq!(look("/readyz").await.unwrap().status, 200);
-    assert_eq!(look("/healthz").await.unwrap().status, 200);
+    let probe = async |path: &str| client::send(&pair.b.metrics, &Ask::get(path)).await;
+    assert_eq!(probe("/readyz").await.unwrap().status, 200);
+    assert_eq!(probe("/healthz").await.unwrap().status, 200);
     pair.b.process.signal(Signal::SIGTERM);
-    // From the first moment of the stop, the platform sees that the host is not ready.
+    // From the beginning of the stop, the readiness endpoint reports that the host is not ready.
     super::support::wait::until("the host is not ready", || async {
-        look("/readyz").await.is_none_or(|answer| answer.status == 503).then_some(())
+        probe("/readyz").await.is_none_or(|answer| answer.status == 503).then_some(())
     })
     .await;
     let status = pair.b.process.ended().await;
@@ -71,9 +71,9 @@
     a + client::counts(&pair.server_b.address).await.runs
 }
 
-/// Found by the soak (seeds 1001 and 1002): a supervisor may ask twice.
+/// A supervisor may repeat SIGTERM, which must not cut the stop short.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_that_is_asked_for_twice_cuts_off_no_request() {
+async fn a_repeated_sigterm_cuts_off_no_request() {
     let mut pair = path::pair(1).await;
     let before = runs(&pair).await;
     let caller = pair.b.caller.clone();
@@ -98,14 +98,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_backend_server_that_says_it_drains_gets_no_new_work() {
+async fn a_draining_backend_server_receives_no_new_requests() {
     let pair = path::pair(1).await;
     let drain = serde_json::json!({"state": "draining"});
     client::set_faults(&pair.server_b.address, drain).await;
-    let said = std::time::Instant::now();
-    super::support::wait::until("the inbound knows", || async {
+    let announced = std::time::Instant::now();
+    super::support::wait::until("the inbound refuses requests", || async {
         (pair.b.metric("cherrystream_inbound_refusals_total{reason=\"draining\"}").await > 0.0 || {
-            // Several at once: a single one may go to the other server for as long as that one seems quicker.
+            // Several at once: a single request may go to the other server while that one is
+            // faster.
             let ask = Ask::get("/work").service("quotes");
             let _ = tokio::join!(pair.b.call(&ask), pair.b.call(&ask), pair.b.call(&ask));
             false
@@ -113,7 +114,7 @@
         .then_some(())
     })
     .await;
-    assert!(said.elapsed() < std::time::Duration::from_secs(3), "{:?}", said.elapsed());
+    assert!(announced.elapsed() < std::time::Duration::from_secs(3), "{:?}", announced.elapsed());
     let before = client::counts(&pair.server_b.address).await.runs;
     for _ in 0..20 {
         let answer = pair.b.call(&Ask::get("/work").service("quotes")).await.unwrap();
@@ -129,7 +130,7 @@
     let mut in_a_row = 0;
     let started = Instant::now();
     while in_a_row < clean {
-        assert!(started.elapsed() < Duration::from_secs(40), "work still goes to {leaving}");
+        assert!(started.elapsed() < Duration::from_secs(40), "requests still go to {leaving}");
         let answer = daemon.call(&Ask::get("/work?work_ms=1").service("quotes")).await.unwrap();
         if answer.work().server == leaving {
             last = Instant::now();
@@ -143,10 +144,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_operators_word_stops_new_work_within_three_seconds_also_from_a_daemon_cut_off() {
+async fn taking_out_a_host_stops_new_requests_within_three_seconds_also_from_a_partitioned_daemon()
+{
     let site = Site::with_control(1).await;
     let relay = Relay::start(&site.address(7698), &site.rpc(1)).await;
-    // host-a is cut off from control; it sees host-b only through what host-b tells.
+    // host-a is partitioned from control and receives the change only from host-b.
     let opts = DaemonOptions { control: Some(relay.address.clone()), ..DaemonOptions::default() };
     let a = site.start_daemon_with("host-a", "a", 1, &opts);
     let b = site.start_daemon("host-b", "b", 2);
@@ -158,17 +160,20 @@
     site.in_force(&[&a, &b]).await;
     relay.set(Mode::Hold);
     site.accept(serde_json::json!({"intent": "take-out-host", "host": "host-b"})).await;
-    let said = Instant::now();
+    let announced = Instant::now();
     let (from_a, from_b) =
         tokio::join!(last_call_to(&a, "quotes-b", 300), last_call_to(&b, "quotes-b", 300));
     for last in [from_a, from_b] {
-        let took = last.saturating_duration_since(said);
-        assert!(took < Duration::from_secs(3), "the last call came {took:?} after the word");
+        let took = last.saturating_duration_since(announced);
+        assert!(
+            took < Duration::from_secs(3),
+            "the last request arrived {took:?} after the change"
+        );
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_platforms_word_stops_new_work_within_three_seconds() {
+async fn a_leaving_host_in_the_platform_list_receives_no_new_requests_within_three_seconds() {
     let mut site = Site::new(1);
     let (_platform, platform) = site.start_platform();
     site.start_control_with(1, &[&format!("platform_list: http://{platform}/hosts")]);
@@ -188,17 +193,20 @@
     let pool = cherrystream_net::pool::Pool::new(&platform, Default::default());
     let put = Ask { method: "PUT", ..Ask::post("/hosts", list.to_string()) };
     assert_eq!(client::send_on(&pool, &put).await.unwrap().status, 200);
-    let said = Instant::now();
+    let announced = Instant::now();
     let (from_a, from_b) =
         tokio::join!(last_call_to(&a, "quotes-b", 300), last_call_to(&b, "quotes-b", 300));
     for last in [from_a, from_b] {
-        let took = last.saturating_duration_since(said);
-        assert!(took < Duration::from_secs(3), "the last call came {took:?} after the word");
+        let took = last.saturating_duration_since(announced);
+        assert!(
+            took < Duration::from_secs(3),
+            "the last request arrived {took:?} after the change"
+        );
     }
-    // A host that the list calls live again gets work again.
+    // A host that is live in the list again receives requests again.
     let put = Ask { method: "PUT", ..Ask::post("/hosts", back.to_string()) };
     assert_eq!(client::send_on(&pool, &put).await.unwrap().status, 200);
-    super::support::wait::until("host-b works again", || async {
+    super::support::wait::until("host-b serves again", || async {
         let answer = b.call(&Ask::get("/work").service("quotes")).await?;
         (answer.work().server == "quotes-b").then_some(())
     })
@@ -206,7 +214,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn reading_the_settings_again_cuts_off_no_request() {
+async fn a_reload_of_the_settings_cuts_off_no_request() {
     let pair = path::pair(1).await;
     let caller = pair.b.caller.clone();
     let before = client::counts(&pair.server_b.address).await.runs;
@@ -226,14 +234,14 @@
     assert_eq!(after.expect("the process ended").status, 200);
 }
 
-/// Requests that are sent at once: more than the backend server's slots and its queue take.
-const TOO_MANY: usize = 40;
+/// Concurrent requests, more than the slots and the queue of the backend server hold.
+const OVERLOAD: usize = 40;
 
-/// Stops a host while requests run and wait at its backend server for longer than the stop takes, and
-/// returns what became of them: answers that promise nothing, and those that say that they were not run.
+/// Stops a host while requests run and wait at its backend server for longer than the stop takes.
+/// Returns how many were answered as unknown and as not run.
 ///
-/// Callers ask at the same host or, `from_afar`, at another one.
-async fn ends_of_a_stop_that_is_too_short(from_afar: bool) -> (u64, u64) {
+/// Callers send to the same host or, with `from_other_host`, to another one.
+async fn outcomes_of_a_stop_that_is_too_short(from_other_host: bool) -> (u64, u64) {
     let site = Site::with_control(1).await;
     let lines = vec!["stop_last_answers_ms: 1000".to_string()];
     let opts = DaemonOptions { lines, ..DaemonOptions::default() };
@@ -246,8 +254,8 @@
     b.serves("quotes").await;
     let before = client::counts(&server.address).await.runs;
     let mut callers = tokio::task::JoinSet::new();
-    for _ in 0..TOO_MANY {
-        let address = if from_afar { b.caller.clone() } else { a.caller.clone() };
+    for _ in 0..OVERLOAD {
+        let address = if from_other_host { b.caller.clone() } else { a.caller.clone() };
         callers.spawn(async move {
             let ask = Ask::get("/work?work_ms=60000").service("quotes");
             let ask = ask.with("cherrystream-deadline-ms", 60_000);
@@ -271,16 +279,20 @@
     }
     let status = a.process.ended().await;
     assert!(status.success(), "{status}");
-    assert_eq!(client::counts(&server.address).await.runs - before, runs, "one ran in the stop");
+    assert_eq!(
+        client::counts(&server.address).await.runs - before,
+        runs,
+        "a request was started during the stop"
+    );
     (unknown, not_run)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_left_at_the_end_of_a_stop_gets_a_true_answer() {
-    assert_eq!(ends_of_a_stop_that_is_too_short(false).await, (12, TOO_MANY as u64 - 12));
+async fn requests_left_at_the_end_of_a_stop_are_answered_correctly() {
+    assert_eq!(outcomes_of_a_stop_that_is_too_short(false).await, (12, OVERLOAD as u64 - 12));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_left_at_the_end_of_a_stop_elsewhere_gets_a_true_answer() {
-    assert_eq!(ends_of_a_stop_that_is_too_short(true).await, (12, TOO_MANY as u64 - 12));
+async fn requests_left_at_the_end_of_a_stop_are_answered_correctly_on_another_host() {
+    assert_eq!(outcomes_of_a_stop_that_is_too_short(true).await, (12, OVERLOAD as u64 - 12));
 }
--- a/crates/cherrystream/tests/processes/main.rs
+++ b/crates/cherrystream/tests/processes/main.rs
@@ -1,4 +1,4 @@
-//! Tests of real processes on loopback: killed, frozen, cut off, with lost disks.
+//! Tests with real processes on loopback, with kills, freezes, partitions and lost disks.
 
 mod access;
 mod bad_input;
@@ -12,7 +12,7 @@
 mod peers;
 mod places;
 mod rollouts;
-// Shared with the soak, which uses more of it.
+// Shared with the soak test, which uses more of it.
 #[allow(dead_code)]
 mod support;
 mod transfers;
--- a/crates/cherrystream/tests/processes/once.rs
+++ b/crates/cherrystream/tests/processes/once.rs
@@ -1,4 +1,4 @@
-//! Requests that may not be repeated run at most once, whatever fails.
+//! Requests that may not be repeated run at most once despite failures.
 
 use super::path::{self, Pair};
 use super::support::client::{self, Ask};
@@ -9,7 +9,7 @@
     Ask::post("/orders", format!("pay {key}")).service("quotes").key(key)
 }
 
-/// Returns how often each key ran, by the stand-ins' own records.
+/// Returns how often each key ran, according to the records of the stand-ins.
 fn runs(pair: &Pair) -> HashMap<String, u32> {
     let mut runs = HashMap::new();
     for run in pair.server_a.runs().into_iter().chain(pair.server_b.runs()) {
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn resends_through_both_daemons_at_once_run_once() {
+async fn concurrent_retries_through_both_daemons_run_once() {
     let pair = path::pair(1).await;
     let mut calls = tokio::task::JoinSet::new();
     for i in 0..120 {
@@ -31,13 +31,13 @@
     }
     while let Some(answer) = calls.join_next().await {
         let answer = answer.unwrap();
-        let told = (answer.status.as_u16(), answer.reason().to_string());
-        assert!(told.0 == 200 || told == (409, "still-running".into()), "{told:?}");
+        let outcome = (answer.status.as_u16(), answer.reason().to_string());
+        assert!(outcome.0 == 200 || outcome == (409, "still-running".into()), "{outcome:?}");
     }
     let runs = runs(&pair);
     for i in 0..20 {
         assert_eq!(runs.get(&format!("key-{i}")), Some(&1), "key-{i}");
-        // A later resend, through either daemon, gets the answer of the run.
+        // A later retry through either daemon receives the recorded answer.
         for daemon in [&pair.a, &pair.b] {
             let answer = daemon.call(&order(&format!("key-{i}"))).await.unwrap();
             assert_eq!((answer.status.as_u16(), answer.outcome()), (200, "answered"));
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_with_another_body_and_a_missing_key_are_refused() {
+async fn a_reused_key_and_a_missing_key_are_rejected() {
     let pair = path::pair(1).await;
     assert_eq!(pair.a.call(&order("k")).await.unwrap().status, 200);
     let other = Ask::post("/orders", "pay more").service("quotes").key("k");
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn after_an_inbound_was_killed_in_the_middle_no_second_run_is_made() {
+async fn a_request_is_not_run_again_after_its_inbound_was_killed() {
     let mut pair = path::pair(1).await;
     // All orders go to host-b, from host-a.
     let out = serde_json::json!({"intent": "take-out-host", "host": "host-a"});
@@ -83,7 +83,7 @@
     pair.b.serves("quotes").await;
     let ask = Ask::post("/orders?work_ms=3000", "pay").service("quotes").key("cut");
     for daemon in [&pair.a, &pair.b] {
-        let again = wait::until("the daemon knows the new inbound", || async {
+        let again = wait::until("the daemon reaches the restarted inbound", || async {
             let again = daemon.call(&ask).await?;
             (again.status != 503).then_some(again)
         })
@@ -94,7 +94,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_outbound_leaves_the_answer_for_a_resend() {
+async fn a_retry_receives_the_answer_after_its_outbound_was_killed() {
     let mut pair = path::pair(1).await;
     let out = serde_json::json!({"intent": "take-out-host", "host": "host-a"});
     pair.site.accept(out).await;
@@ -125,7 +125,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_a_ledger_quorum_nothing_runs_and_the_caller_is_told() {
+async fn without_a_ledger_quorum_requests_are_refused_as_not_run() {
     let mut pair = path::pair(3).await;
     let leader = pair.site.leader().await;
     for replica in (1..=3).filter(|r| *r != leader) {
@@ -136,7 +136,7 @@
     assert_eq!(answer.outcome(), "not-run");
     assert!(!answer.header("retry-after").is_empty());
     assert_eq!(runs(&pair).get("no-quorum"), None);
-    // Requests that may be repeated go on.
+    // Requests that may be repeated are still served.
     let read = pair.a.call(&Ask::get("/work").service("quotes")).await.unwrap();
     assert_eq!(read.outcome(), "answered");
     for replica in (1..=3).filter(|r| *r != leader) {
@@ -152,7 +152,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn orders_run_once_while_the_ledger_leader_is_killed() {
+async fn requests_run_once_while_the_ledger_leader_is_killed() {
     let mut pair = path::pair(3).await;
     let mut calls = tokio::task::JoinSet::new();
     for i in 0..24 {
--- a/crates/cherrystream/tests/processes/operators.rs
+++ b/crates/cherrystream/tests/processes/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: plans, confirmations, races, resends, and what reaches running daemons.
+//! Operators: plans, confirmations, races, retries, and the effect on running daemons.
 
 use super::path;
 use super::support::client::{self, Ask};
@@ -15,7 +15,7 @@
     assert_eq!(planned.status, 201);
     let plan = planned.json()["plan"].as_str().unwrap().to_string();
     assert_eq!(planned.json()["warnings"][0], "leaves 1 of 2 backend servers of quotes");
-    // Without confirmation nothing happens: host-b's backend server still gets work.
+    // Without confirmation the backend server on host-b still receives requests.
     wait::until("host-b answers", || async {
         let answer = pair.b.call(&Ask::get("/work").service("quotes")).await?;
         (answer.work().server == "quotes-b").then_some(())
@@ -32,7 +32,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_racing_operators_one_is_told_what_changed() {
+async fn of_two_racing_operators_one_is_refused_with_the_change() {
     let site = Site::with_control(3).await;
     let (first, second) = (site.api(1), site.api(2));
     let a = json!({"intent": "put-service", "service": "quotes", "measuring_per_second": 5});
@@ -43,13 +43,13 @@
     let (a, b) = (a.unwrap(), b.unwrap());
     let (won, lost) = if a.status == 200 { (a, b) } else { (b, a) };
     assert_eq!((won.status.as_u16(), lost.status.as_u16()), (200, 409));
-    let told = lost.json();
-    assert!(told["error"].as_str().unwrap().contains("put service '"), "{told}");
-    assert!(told["remedy"].as_str().unwrap().contains("again"), "{told}");
+    let reply = lost.json();
+    assert!(reply["error"].as_str().unwrap().contains("put service '"), "{reply}");
+    assert!(reply["remedy"].as_str().unwrap().contains("again"), "{reply}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_resent_intent_and_confirmation_get_the_same_reply_across_a_leader_change() {
+async fn a_repeated_intent_and_confirmation_receive_the_same_reply_after_a_leader_change() {
     let mut site = Site::with_control(3).await;
     let leader = site.leader().await;
     let intent = json!({"intent": "put-service", "service": "quotes", "measuring_per_second": 5});
@@ -67,8 +67,8 @@
     assert_eq!(confirmed_again.body, confirmed.body);
 }
 
-/// Runs the command line against a site and tells what it printed.
-fn told(api: &str, args: &[&str]) -> String {
+/// Runs the command line against a site; returns its output and exit code.
+fn run_cli(api: &str, args: &[&str]) -> String {
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_cherrystream"))
         .args(args)
         .args(["--api", api])
@@ -79,7 +79,7 @@
     format!("{}{}exit code {code}\n\n", text(&output.stdout), text(&output.stderr))
 }
 
-/// Replaces what differs from run to run.
+/// Replaces plan identifiers, addresses and times, which differ between runs.
 fn masked(text: &str, plan: &str, server: &str) -> String {
     let hide = |word: &str| {
         let is_time = word.starts_with("20") && word.contains('T');
@@ -117,31 +117,32 @@
         &["host", "take-out", "host-a"],
     ];
     for intent in intents {
-        let planned = told(&api, intent);
+        let planned = run_cli(&api, intent);
         let plan = planned.split(' ').nth(1).unwrap().to_string();
         let shown = masked(&planned, &plan, &server.address);
-        let confirmed = masked(&told(&api, &["confirm", &plan]), &plan, &server.address);
+        let confirmed = masked(&run_cli(&api, &["confirm", &plan]), &plan, &server.address);
         let command = intent.join(" ").replace(&server.address, "SERVER");
         session +=
             &format!("$ cherrystream {command}\n{shown}$ cherrystream confirm PLAN\n{confirmed}");
     }
-    let config = masked(&told(&api, &["config"]), "no plan", &server.address);
+    let config = masked(&run_cli(&api, &["config"]), "no plan", &server.address);
     session += &format!("$ cherrystream config\n{config}");
-    session += &format!("$ cherrystream status\n{}", told(&api, &["status"]));
-    session += &format!("$ cherrystream confirm nothing\n{}", told(&api, &["confirm", "nothing"]));
+    session += &format!("$ cherrystream status\n{}", run_cli(&api, &["status"]));
+    session +=
+        &format!("$ cherrystream confirm nothing\n{}", run_cli(&api, &["confirm", "nothing"]));
     insta::assert_snapshot!(session);
 }
 
-/// Every control process is killed right after the order was confirmed: the evacuation outlasts it, as configuration does.
+/// All control processes are killed right after the confirmation; the evacuation must persist.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_evacuation_outlasts_the_loss_of_all_control_processes() {
+async fn an_evacuation_survives_the_loss_of_all_control_processes() {
     let mut pair = path::pair(3).await;
     let api = pair.site.any_api();
-    let planned = told(&api, &["evacuate", "start", "b"]);
+    let planned = run_cli(&api, &["evacuate", "start", "b"]);
     assert!(planned.contains("failure domain 'b'"), "{planned}");
     assert!(planned.contains("leaves 1 of 2 backend servers of quotes"), "{planned}");
     let plan = planned.split(' ').nth(1).unwrap().to_string();
-    assert!(told(&api, &["confirm", &plan]).contains("is accepted"));
+    assert!(run_cli(&api, &["confirm", &plan]).contains("is accepted"));
     for replica in 1..=3 {
         pair.site.kill_control(replica);
     }
@@ -150,7 +151,7 @@
     }
     pair.site.leader().await;
     pair.site.in_force(&[&pair.a, &pair.b]).await;
-    let listed = told(&pair.site.any_api(), &["evacuate", "list"]);
+    let listed = run_cli(&pair.site.any_api(), &["evacuate", "list"]);
     assert!(listed.starts_with("failure domains evacuated: b\n"), "{listed}");
     let before = client::counts(&pair.server_b.address).await.runs;
     for _ in 0..10 {
--- a/crates/cherrystream/tests/processes/path.rs
+++ b/crates/cherrystream/tests/processes/path.rs
@@ -1,4 +1,4 @@
-//! A request's way: one hop, two hops, long bodies, deep readers, faults on the way.
+//! The path of a request: one or two hops, long bodies, slow readers and faults.
 
 use super::support::client::{self, Ask};
 use super::support::site::{Daemon, DaemonOptions, Server, Site};
@@ -7,7 +7,7 @@
 use cherrystream_standin::backend;
 use serde_json::json;
 
-/// Control, two daemons and a stand-in beside each.
+/// Control, and two daemons with a stand-in backend server each.
 pub struct Pair {
     pub site: Site,
     pub a: Daemon,
@@ -38,9 +38,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_passes_by_one_hop_and_by_two() {
+async fn a_request_is_served_over_one_hop_and_over_two() {
     let pair = pair(1).await;
-    // Only host-b's backend server is left: from host-a the way has two hops, from host-b one.
+    // Only the backend server on host-b is left: two hops from host-a, one from host-b.
     pair.site.accept(json!({"intent": "take-out-host", "host": "host-a"})).await;
     pair.site.in_force(&[&pair.a, &pair.b]).await;
     for daemon in [&pair.a, &pair.b] {
@@ -52,13 +52,13 @@
         assert_eq!((work.bytes, work.hash), (5, backend::hash_of(b"hello")));
     }
     assert!(pair.a.metric("cherrystream_peer_connects_total").await >= 1.0);
-    // Daemons also connect to tell each other what they know, so the calls themselves are counted.
+    // Daemons also connect to exchange state, so the calls themselves are counted.
     assert!(pair.a.metric("cherrystream_peer_calls_total").await >= 1.0);
     assert_eq!(pair.b.metric("cherrystream_peer_calls_total").await, 0.0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_service_is_found_in_the_host_name() {
+async fn the_service_is_read_from_the_host_name() {
     let pair = pair(1).await;
     let ask = Ask::get("/work");
     let pool = cherrystream_net::pool::Pool::new(&pair.a.caller, Default::default());
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_long_body_passes_both_ways_without_being_held() {
+async fn long_bodies_are_streamed_without_buffering() {
     const SIZE: usize = 64 << 20;
     let pair = pair(1).await;
     pair.site.accept(json!({"intent": "take-out-host", "host": "host-a"})).await;
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn many_callers_get_their_own_whole_answers() {
+async fn concurrent_callers_receive_their_own_complete_answers() {
     let pair = pair(1).await;
     let mut calls = tokio::task::JoinSet::new();
     for i in 0..400_usize {
@@ -96,7 +96,7 @@
         calls.spawn(async move {
             let body = Bytes::from(format!("{i:>width$}", width = 10 + i * 37));
             let ask = Ask::post(&format!("/own/{i}"), body.clone()).service("quotes");
-            // Every seventh caller leaves before its answer.
+            // Every seventh caller disconnects before its answer.
             if i % 7 == 0 {
                 let left = client::send(&address, &ask);
                 let _ = tokio::time::timeout(std::time::Duration::from_millis(1), left).await;
@@ -118,22 +118,22 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_answer_never_looks_whole() {
+async fn a_truncated_answer_is_never_reported_as_complete() {
     let pair = pair(1).await;
     for server in [&pair.server_a, &pair.server_b] {
         client::set_faults(&server.address, json!({"break_share": 1.0})).await;
     }
-    // A short answer that breaks is still held here: the caller is told.
+    // A short answer is still buffered, so the caller receives an error response.
     let short = pair.a.call(&Ask::post("/work", "x").service("quotes")).await.unwrap();
     assert_eq!((short.status.as_u16(), short.outcome()), (502, "unknown"));
     assert_eq!(short.reason(), "backend-server-broke");
-    // A long one has begun: the transfer breaks off.
+    // A long one has already been forwarded in part, so the transfer is aborted.
     let long = Ask::get("/work?answer_bytes=3000000").service("quotes");
-    assert!(pair.a.call(&long).await.is_none(), "a truncated answer looked whole");
+    assert!(pair.a.call(&long).await.is_none(), "a truncated answer was reported as complete");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_of_another_call_is_not_passed_on() {
+async fn an_answer_to_another_call_is_not_forwarded() {
     let pair = pair(1).await;
     for server in [&pair.server_a, &pair.server_b] {
         client::set_faults(&server.address, json!({"wrong_call": true})).await;
@@ -143,13 +143,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_cancels_the_work() {
+async fn a_caller_that_disconnects_cancels_its_request() {
     let pair = pair(1).await;
     let ask =
         Ask::get("/work?work_ms=60000").service("quotes").with("cherrystream-deadline-ms", 60000);
     let left = pair.a.call(&ask);
     let _ = tokio::time::timeout(std::time::Duration::from_millis(300), left).await;
-    wait::until("the work is cancelled", || async {
+    wait::until("the request is cancelled", || async {
         let a = client::counts(&pair.server_a.address).await;
         let b = client::counts(&pair.server_b.address).await;
         (a.cancelled + b.cancelled == 1).then_some(())
@@ -165,7 +165,7 @@
     let started = std::time::Instant::now();
     let answer = pair.a.call(&ask).await.unwrap();
     assert!(started.elapsed() < std::time::Duration::from_secs(5));
-    // The stand-in honours the deadline that it is told, so its own answer may come first.
+    // The stand-in observes the deadline header, so its own answer may arrive first.
     let at_server = (answer.status.as_u16(), answer.outcome()) == (504, "answered");
     let at_balancer = (answer.status.as_u16(), answer.reason()) == (504, "deadline-passed");
     assert!(at_server || at_balancer, "{answer:?}");
@@ -193,7 +193,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_reader_that_stalls_does_not_keep_its_slot() {
+async fn a_stalled_reader_does_not_keep_its_slot() {
     let site = Site::with_control(1).await;
     let lines = vec!["stall_limit_ms: 400".to_string()];
     let a = site.start_daemon_with("host-a", "a", 1, &DaemonOptions { lines, control: None });
@@ -201,7 +201,7 @@
     site.put_service("quotes").await;
     site.put_server("quotes", "quotes-a", "host-a", &server).await;
     a.serves("quotes").await;
-    // All twelve slots are taken by callers that ask for long answers and read nothing.
+    // All twelve slots are taken by callers that request long answers and read nothing.
     let mut stalled = Vec::new();
     for _ in 0..12 {
         let mut stream = tokio::net::TcpStream::connect(&a.caller).await.unwrap();
--- a/crates/cherrystream/tests/processes/places.rs
+++ b/crates/cherrystream/tests/processes/places.rs
@@ -1,4 +1,4 @@
-//! Control hosts that lose their place in the group while they are away.
+//! Control hosts whose member slot is reassigned while they are unreachable.
 
 use super::support::client::{self, Ask};
 use super::support::process::{self, Process};
@@ -10,7 +10,7 @@
 const RPC: u16 = 7721;
 const API: u16 = 7722;
 
-/// Starts a control host whose group is found by the seeds 1 to 3.
+/// Starts a control host that finds its group by the seeds 1 to 3.
 fn start(site: &Site, host: u8, found: bool) -> Process {
     let address = |host, port| site.side_address(host, port);
     let seeds: Vec<String> = (1..=3).map(|seed| format!("'{}'", address(seed, API))).collect();
@@ -30,8 +30,8 @@
     Process::start(&process::cherrystream(), &args, &folder.join(format!("core-{host}.log")))
 }
 
-/// Waits until the operators' API of a host answers with the newest configuration, which only a member's does.
-async fn serves(site: &Site, host: u8) {
+/// Waits until the control API of a host returns the configuration, as only a member's does.
+async fn wait_until_member(site: &Site, host: u8) {
     let api = site.side_address(host, API);
     wait::until(&format!("host {host} serves"), || async {
         let answer = client::send(&api, &Ask::get("/v1/config")).await?;
@@ -40,26 +40,27 @@
     .await;
 }
 
-/// Load: a host is lost, a newcomer takes its place, the host comes back with its old disk, and the newcomer is lost.
-/// The process of the host that came back goes on and is a member again.
+/// A host is lost, a joining replica takes its member slot, the host returns with its old disk, and
+/// the new member is lost. The process of the returned host must keep running and become a member
+/// again.
 #[tokio::test]
-async fn a_host_that_lost_its_place_goes_on_and_takes_the_next_one() {
+async fn a_host_whose_member_slot_was_reassigned_joins_again_without_a_restart() {
     let site = Site::new(0);
     let mut first: Vec<Process> = (1..=3).map(|host| start(&site, host, true)).collect();
     for host in 1..=3 {
-        serves(&site, host).await;
+        wait_until_member(&site, host).await;
     }
     first[2].kill();
-    let mut newcomer = start(&site, 4, false);
-    serves(&site, 4).await;
+    let mut replacement = start(&site, 4, false);
+    wait_until_member(&site, 4).await;
     let mut returned = start(&site, 3, false);
     let log = site.folder.path().join("core-3.log");
-    wait::until("host 3 asks for another place", || async {
+    wait::until("host 3 requests another member slot", || async {
         let text = fs::read_to_string(&log).ok()?;
         text.contains("its next run asks for another place").then_some(())
     })
     .await;
-    newcomer.kill();
-    serves(&site, 3).await;
+    replacement.kill();
+    wait_until_member(&site, 3).await;
     assert!(returned.is_running(), "the process ended");
 }
--- a/crates/cherrystream/tests/processes/rollouts.rs
+++ b/crates/cherrystream/tests/processes/rollouts.rs
@@ -1,4 +1,5 @@
-//! Roll-outs of a version over real processes: completed, rolled back while the leader is killed, kept over a loss of power.
+//! Roll-outs of a version: completed, rolled back despite a killed leader, persisted over a power
+//! loss.
 
 use super::support::client::{self, Ask};
 use super::support::site::{Daemon, DaemonOptions, Server, Site};
@@ -10,13 +11,13 @@
 use tokio::task::JoinSet;
 
 const SERVICE: &str = "quotes";
-/// Backend servers of each version.
-const EACH: usize = 3;
+/// Number of backend servers of each version.
+const SERVERS_PER_VERSION: usize = 3;
 const WITHIN_MS: u64 = 8_000;
-/// Pause of a caller between two requests.
-const PAUSE: Duration = Duration::from_millis(10);
-/// Share of all requests, and requests beyond, that a version may get while it is not trusted: the defaults.
-const EXPOSED: (f64, f64) = (0.1, 50.0);
+/// Interval between two requests of a caller.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
+/// Most requests that a canary may receive: a share of all requests, and a number beyond that.
+const MAX_EXPOSURE: (f64, f64) = (0.1, 50.0);
 
 struct Fleet {
     site: Site,
@@ -25,12 +26,12 @@
 }
 
 impl Fleet {
-    /// Starts backend servers of two versions, each beside its daemon, and has them report themselves.
+    /// Starts backend servers of two versions, each beside its daemon, and sends their reports.
     async fn start() -> Fleet {
         let site = Site::with_control(3).await;
         site.put_service(SERVICE).await;
         let (mut daemons, mut servers) = (Vec::new(), Vec::new());
-        for i in 0..2 * EACH {
+        for i in 0..2 * SERVERS_PER_VERSION {
             let host = format!("host-{i}");
             let port = 7400 + i as u16 * 10 + 3;
             let lines = vec![format!("instance_address: {}", site.address(port))];
@@ -39,7 +40,7 @@
             servers.push(site.start_server(&format!("server-{i}"), &["--work-us", "4000"]));
         }
         let fleet = Fleet { site, daemons, servers };
-        for i in 0..2 * EACH {
+        for i in 0..2 * SERVERS_PER_VERSION {
             fleet.report(i).await;
         }
         fleet.daemons[0].serves(SERVICE).await;
@@ -47,7 +48,7 @@
     }
 
     fn version(i: usize) -> &'static str {
-        if i < EACH { "v1" } else { "v2" }
+        if i < SERVERS_PER_VERSION { "v1" } else { "v2" }
     }
 
     async fn report(&self, i: usize) {
@@ -58,7 +59,7 @@
         let address = self.site.address(7400 + i as u16 * 10 + 3);
         let path = format!("/v1/instances/server-{i}");
         let ask = Ask { method: "PUT", ..Ask::post(&path, instance.to_string()) };
-        wait::until("the report is taken", || async {
+        wait::until("the report is accepted", || async {
             let answer = client::send(&address, &ask).await?;
             (answer.status == 200).then_some(())
         })
@@ -79,14 +80,14 @@
         (answer.status == 200 && known.is_object()).then_some(known)
     }
 
-    async fn ends_as(&self, stage: &str) -> Value {
+    async fn wait_for_stage(&self, stage: &str) -> Value {
         wait::until(&format!("the roll-out is {stage}"), || async {
             self.rollout().await.filter(|known| known["stage"] == stage)
         })
         .await
     }
 
-    /// Returns the requests that servers of a version have run.
+    /// Returns the number of requests that servers of a version have run.
     async fn runs(&self, version: &str) -> u64 {
         let mut runs = 0;
         for (i, server) in self.servers.iter().enumerate() {
@@ -98,7 +99,7 @@
     }
 }
 
-/// Callers that ask without a pause to speak of, until they are dropped.
+/// Callers that send requests continuously until they are stopped or dropped.
 struct Callers {
     _tasks: JoinSet<()>,
     answered: Arc<AtomicU64>,
@@ -121,7 +122,7 @@
                     let good = answer.is_some_and(|answer| answer.status == 200);
                     let count = if good { &answered } else { &failed };
                     count.fetch_add(1, Ordering::Relaxed);
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(REQUEST_INTERVAL).await;
                 }
             });
         }
@@ -134,11 +135,11 @@
 }
 
 #[tokio::test]
-async fn a_good_version_gets_all_requests_and_no_caller_notices() {
+async fn a_good_version_receives_all_requests_without_a_failure() {
     let fleet = Fleet::start().await;
     let callers = Callers::start(&fleet);
     fleet.roll_out("v2").await;
-    // The same words once more change nothing; other ones are refused with what to do.
+    // A roll-out of another version is refused meanwhile, with a remedy.
     let api = fleet.site.any_api();
     let other = json!({
         "intent": "start-rollout", "service": SERVICE, "version": "v3", "within_ms": WITHIN_MS
@@ -146,45 +147,44 @@
     let refused = fleet.site.intend(&api, &other).await.expect("control answers");
     assert_eq!(refused.status, 409);
     assert!(refused.json()["remedy"].as_str().is_some_and(|r| r.contains("rollout stop")));
-    let ended = fleet.ends_as("completed").await;
+    let ended = fleet.wait_for_stage("completed").await;
     assert_eq!(ended["old"], json!(["v1"]));
-    // From here on the old backend servers may be gone at once.
+    // From here on the old backend servers may be removed.
     let before = fleet.runs("v1").await;
     tokio::time::sleep(Duration::from_millis(500)).await;
-    assert_eq!(fleet.runs("v1").await, before, "old backend servers still get requests");
+    assert_eq!(fleet.runs("v1").await, before, "old backend servers still receive requests");
     callers.stopped.store(true, Ordering::Relaxed);
     assert_eq!(callers.failed.load(Ordering::Relaxed), 0, "of {}", callers.all());
 }
 
 #[tokio::test]
-async fn a_bad_version_is_rolled_back_although_the_leader_is_killed_and_stays_so_after_a_loss_of_power()
- {
+async fn a_bad_version_is_rolled_back_despite_a_killed_leader_and_a_power_loss() {
     let mut fleet = Fleet::start().await;
-    for server in &fleet.servers[EACH..] {
+    for server in &fleet.servers[SERVERS_PER_VERSION..] {
         client::set_faults(&server.address, json!({"fail_share": 0.5})).await;
     }
     let callers = Callers::start(&fleet);
     let before = (callers.all(), fleet.runs("v2").await);
     fleet.roll_out("v2").await;
-    wait::until("the version is tried", || async {
+    wait::until("the canary receives requests", || async {
         (fleet.runs("v2").await > before.1).then_some(())
     })
     .await;
     let leader = fleet.site.leader().await;
     fleet.site.kill_control(leader);
-    let ended = fleet.ends_as("rolled-back").await;
+    let ended = fleet.wait_for_stage("rolled-back").await;
     assert!(ended["reason"].as_str().is_some_and(|reason| reason.contains("failed")), "{ended}");
-    let (share, slack) = EXPOSED;
+    let (share, slack) = MAX_EXPOSURE;
     let (all, tried) = (callers.all() - before.0, fleet.runs("v2").await - before.1);
     assert!(tried as f64 <= share * all as f64 + slack, "{tried} of {all}");
-    // All power is lost: what was decided is on the disks.
+    // All control processes are killed; the decision is on disk.
     for replica in (1..=3).filter(|replica| *replica != leader) {
         fleet.site.kill_control(replica);
     }
     (1..=3).for_each(|replica| fleet.site.start_control(replica));
-    fleet.ends_as("rolled-back").await;
+    fleet.wait_for_stage("rolled-back").await;
     let after = fleet.runs("v2").await;
     tokio::time::sleep(Duration::from_millis(500)).await;
-    assert_eq!(fleet.runs("v2").await, after, "a version that was rolled back gets requests");
+    assert_eq!(fleet.runs("v2").await, after, "a version that was rolled back receives requests");
     callers.stopped.store(true, Ordering::Relaxed);
 }
--- a/crates/cherrystream/tests/processes/support/client.rs
+++ b/crates/cherrystream/tests/processes/support/client.rs
@@ -1,4 +1,4 @@
-//! An HTTP client for callers and operators.
+//! HTTP client for callers and operators.
 
 use bytes::Bytes;
 use cherrystream_net::body::{self, Start};
@@ -8,10 +8,10 @@
 use http::{HeaderMap, Request, StatusCode};
 use prometheus_client::metrics::counter::Counter;
 
-/// Largest answer that is read.
-const ANSWER_BYTES: usize = 256 << 20;
+/// Largest answer, in bytes.
+const MAX_ANSWER_BYTES: usize = 256 << 20;
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub status: StatusCode,
@@ -68,12 +68,12 @@
         self.with("cherrystream-service", name)
     }
 
-    /// Returns whether the request names a host other than the address that it is sent to.
+    /// Returns whether the request has a `Host` header of its own.
     pub fn names_host(&self) -> bool {
         self.headers.iter().any(|(name, _)| *name == "host")
     }
 
-    /// Adds the key of a workspace, where there is one.
+    /// Adds the key of a workspace, if there is one.
     pub fn with_key(self, key: Option<&str>) -> Ask {
         match key {
             Some(key) => self.with("authorization", format!("Bearer {key}")),
@@ -86,13 +86,13 @@
     }
 }
 
-/// Sends a request; `None` when no whole answer came.
+/// Sends a request on a new connection; returns `None` without a complete answer.
 pub async fn send(address: &str, ask: &Ask) -> Option<Answer> {
     let pool = Pool::new(address, Counter::default());
     send_on(&pool, ask).await
 }
 
-/// Sends a request on kept connections.
+/// Sends a request on pooled connections; returns `None` without a complete answer.
 pub async fn send_on(pool: &Pool, ask: &Ask) -> Option<Answer> {
     let mut req = Request::builder().method(ask.method).uri(&ask.path);
     if !ask.names_host() {
@@ -105,7 +105,7 @@
     let connection = pool.connection().await.ok()?;
     let res = pool.send(connection, req).await.ok()?;
     let (parts, body) = res.into_parts();
-    match body::read_start(body, ANSWER_BYTES).await {
+    match body::read_start(body, MAX_ANSWER_BYTES).await {
         Ok(Start::Whole(body)) => {
             Some(Answer { status: parts.status, headers: parts.headers, body })
         }
@@ -113,14 +113,14 @@
     }
 }
 
-/// Switches faults of a stand-in backend server.
+/// Sets the faults of a stand-in backend server.
 pub async fn set_faults(address: &str, faults: serde_json::Value) {
     let ask = Ask::post("/standin/faults", faults.to_string());
     let answer = send(address, &ask).await.unwrap();
     assert_eq!(answer.status, StatusCode::OK, "{:?}", answer.body);
 }
 
-/// Returns what a stand-in backend server has counted.
+/// Returns the counts of a stand-in backend server.
 pub async fn counts(address: &str) -> Counts {
     let answer = send(address, &Ask::get("/standin/counts")).await.unwrap();
     serde_json::from_slice(&answer.body).unwrap()
--- a/crates/cherrystream/tests/processes/support/mod.rs
+++ b/crates/cherrystream/tests/processes/support/mod.rs
@@ -1,4 +1,4 @@
-//! Processes, clients and relays for the tests.
+//! Processes, HTTP client and relays for the tests.
 
 pub mod client;
 pub mod process;
--- a/crates/cherrystream/tests/processes/support/process.rs
+++ b/crates/cherrystream/tests/processes/support/process.rs
@@ -1,4 +1,4 @@
-//! Processes that are killed when a test ends.
+//! Child processes that are killed when dropped.
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -8,7 +8,7 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// Longest wait for a process to end.
+/// Time limit for a process to exit.
 const END_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// A running process.
@@ -52,7 +52,7 @@
         kill(Pid::from_raw(self.child.id() as i32), signal).unwrap();
     }
 
-    /// Kills the process, as a lost host does.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
         self.signal(Signal::SIGKILL);
         self.child.wait().unwrap();
@@ -82,21 +82,24 @@
         }
     }
 
-    /// Returns the most memory that the process has held, in bytes.
+    /// Returns the peak resident memory of the process, in bytes.
     pub fn peak_memory(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
         line.trim().trim_end_matches(" kB").parse::<u64>().unwrap() * 1024
     }
 
-    /// Waits until the process ends by itself.
+    /// Waits until the process exits.
     pub async fn ended(&mut self) -> ExitStatus {
         let start = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(start.elapsed() < END_TIMEOUT, "the process does not end");
+            assert!(
+                start.elapsed() < END_TIMEOUT,
+                "the process does not exit within {END_TIMEOUT:?}"
+            );
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
@@ -109,7 +112,7 @@
     }
 }
 
-/// Path of the program.
+/// Returns the path of the program.
 pub fn cherrystream() -> PathBuf {
     env!("CARGO_BIN_EXE_cherrystream").into()
 }
--- a/crates/cherrystream/tests/processes/support/relay.rs
+++ b/crates/cherrystream/tests/processes/support/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between two processes that can hold, slow or cut what passes.
+//! TCP relay that can hold, delay, throttle or cut connections.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,29 +8,29 @@
 use tokio::sync::{Mutex, watch};
 use tokio::time::Instant;
 
-/// Time by which bytes are held up by [`Mode::Delay`].
+/// Delay of bytes in [`Mode::Delay`].
 pub const DELAY: Duration = Duration::from_millis(40);
 
-/// Receive buffer of the relay's sockets, so that a slow relay holds few bytes that its sender takes
-/// for sent; the kernel doubles it.
+/// Receive buffer of the relay's sockets, in bytes; the kernel doubles it. It is small so that a
+/// slow relay buffers little.
 const SOCKET_BUFFER: u32 = 32 * 1024;
 /// Connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// What a relay does with bytes.
+/// How a relay handles bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It passes them on.
+    /// Forwards them.
     Pass,
-    /// It holds them, without a sign to either side.
+    /// Holds them, while connections stay open.
     Hold,
-    /// It holds those that come back, and passes the others on.
+    /// Holds those of the reverse direction, and forwards the others.
     HoldBack,
-    /// It passes them on after [`DELAY`].
+    /// Forwards them after [`DELAY`].
     Delay,
-    /// It passes on this many bytes a second each way, over all connections of its line together.
+    /// Forwards this many bytes per second in each direction, over all connections of its line.
     Rate(u64),
-    /// It closes connections.
+    /// Closes connections.
     Cut,
 }
 
@@ -46,14 +46,14 @@
 
 /// One direction of a line.
 #[derive(Default)]
-struct Way {
-    /// Time from which on the next bytes may pass.
+struct Direction {
+    /// Time from which the next bytes may be forwarded.
     free_at: Mutex<Option<Instant>>,
 }
 
-impl Way {
-    /// Waits until `n` more bytes have passed at a rate.
-    async fn pace(&self, n: usize, rate: u64) {
+impl Direction {
+    /// Waits for the time that `n` more bytes take at a rate in bytes per second.
+    async fn throttle(&self, n: usize, rate: u64) {
         let mut free_at = self.free_at.lock().await;
         let start = free_at.unwrap_or_else(Instant::now).max(Instant::now());
         let end = start + Duration::from_secs_f64(n as f64 / rate as f64);
@@ -63,15 +63,15 @@
     }
 }
 
-/// What the connections of one or more relays share: how soon their next bytes may pass each way.
+/// A link whose bandwidth the connections of one or more relays share.
 #[derive(Clone, Default)]
 pub struct Line {
-    there: Arc<Way>,
-    back: Arc<Way>,
+    there: Arc<Direction>,
+    back: Arc<Direction>,
 }
 
 impl Line {
-    /// Returns the same line as seen from its other end.
+    /// Returns the line with its directions exchanged.
     pub fn reversed(&self) -> Line {
         Line { there: self.back.clone(), back: self.there.clone() }
     }
@@ -84,12 +84,12 @@
 }
 
 impl Relay {
-    /// Starts a relay that listens on an address of its own.
+    /// Starts a relay with a line of its own.
     pub async fn start(listen: &str, to: &str) -> Relay {
         Relay::start_on(Line::default(), listen, to).await
     }
 
-    /// Starts a relay on a line that it shares with others.
+    /// Starts a relay on a line shared with other relays.
     pub async fn start_on(line: Line, listen: &str, to: &str) -> Relay {
         let listener = listen_on(listen);
         let address = listener.local_addr().unwrap().to_string();
@@ -100,13 +100,13 @@
                 if *tx.borrow() == Mode::Cut {
                     continue;
                 }
-                tokio::spawn(pass_on(near, to.clone(), line.clone(), tx.subscribe()));
+                tokio::spawn(forward(near, to.clone(), line.clone(), tx.subscribe()));
             }
         });
         Relay { address, mode }
     }
 
-    /// Switches what the relay does.
+    /// Sets the mode of the relay.
     pub fn set(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
@@ -126,9 +126,9 @@
     socket.connect(address.parse().unwrap()).await.ok()
 }
 
-async fn pass_on(near: TcpStream, to: String, line: Line, mut mode: watch::Receiver<Mode>) {
+async fn forward(near: TcpStream, to: String, line: Line, mut mode: watch::Receiver<Mode>) {
     let Some(far) = connect(&to).await else { return };
-    // What the relay takes goes on at once, as on a link.
+    // Received bytes are forwarded without delay.
     if near.set_nodelay(true).is_err() || far.set_nodelay(true).is_err() {
         return;
     }
@@ -145,7 +145,7 @@
 async fn pump(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    way: &Way,
+    direction: &Direction,
     mut mode: watch::Receiver<Mode>,
     passes: fn(&Mode) -> bool,
 ) {
@@ -157,7 +157,7 @@
         let now = *mode.borrow();
         match now {
             Mode::Delay => tokio::time::sleep(DELAY).await,
-            Mode::Rate(rate) => way.pace(n, rate).await,
+            Mode::Rate(rate) => direction.throttle(n, rate).await,
             _ => {}
         }
         if to.write_all(&buf[..n]).await.is_err() {
--- a/crates/cherrystream/tests/processes/support/site.rs
+++ b/crates/cherrystream/tests/processes/support/site.rs
@@ -1,4 +1,4 @@
-//! A small site of real processes.
+//! A small site of real processes on loopback.
 
 use super::client::{self, Answer, Ask};
 use super::process::{self, Process};
@@ -9,27 +9,27 @@
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Lines of each log that a failed test shows.
+/// Last lines of each log that a failed test prints.
 const LINES_SHOWN: usize = 25;
 
-/// Each site has loopback addresses of its own, so that its ports are free.
+/// Number of the next site. Each has its own loopback addresses, so that its ports are free.
 static SITES: AtomicU32 = AtomicU32::new(1);
-/// Numbers of sites stay below this one.
+/// Last address byte from which on addresses are used by [`Site::side_address`] instead of sites.
 const SIDE_HOSTS: u8 = 250;
 
-/// A site.
+/// Control replicas and settings of a site.
 pub struct Site {
     pub folder: tempfile::TempDir,
     base: String,
     pub replicas: u64,
     pub controls: Vec<Option<Process>>,
-    /// Addresses by which replica `.0` reaches replica `.1`, where not its own.
+    /// Addresses at which replica `.0.0` reaches replica `.0.1`, if other than its RPC address.
     pub control_lines: Vec<((u64, u64), String)>,
-    /// Lines put in front of the settings of processes started from now on.
+    /// Lines at the beginning of the settings of processes started from now on.
     pub top_lines: Vec<String>,
     /// As `top_lines`, for control replicas only.
     pub control_top_lines: Vec<String>,
-    /// Key of a workspace that requests need, where they need one.
+    /// Key of a workspace that requests carry, if they need one.
     pub caller_key: Option<&'static str>,
 }
 
@@ -45,12 +45,12 @@
     pub process: Process,
 }
 
-/// Settings of a daemon beyond the usual.
+/// Additional settings of a daemon.
 #[derive(Default)]
 pub struct DaemonOptions {
     /// Lines added to the daemon's settings.
     pub lines: Vec<String>,
-    /// Address of control to use in place of the usual ones.
+    /// Address of control to use instead of those of all replicas.
     pub control: Option<String>,
 }
 
@@ -71,14 +71,14 @@
         self.process = Process::start_standin(&args, &self.log).0;
     }
 
-    /// Takes an option away, with its value, from the next start on.
+    /// Removes an option with its value from the next start on.
     pub fn forget_option(&mut self, name: &str) {
         if let Some(at) = self.args.iter().position(|arg| arg == name) {
             self.args.drain(at..at + 2);
         }
     }
 
-    /// Returns the runs on record.
+    /// Returns the requests that ran, from the record.
     pub fn runs(&self) -> Vec<String> {
         cherrystream_standin::record::read_runs(&self.record).unwrap()
     }
@@ -89,7 +89,7 @@
     pub fn new(replicas: u64) -> Site {
         let pid = std::process::id();
         let n = SITES.fetch_add(1, Ordering::Relaxed);
-        // 127.0.0.0/8 is loopback as a whole.
+        // All of 127.0.0.0/8 is loopback.
         let n = n % u32::from(SIDE_HOSTS);
         let base = format!("127.{}.{}.{n}", 1 + pid / 250 % 250, 1 + pid % 250);
         Site {
@@ -118,7 +118,7 @@
         format!("{}:{port}", self.base)
     }
 
-    /// Returns an address of a host beside those of all sites, which the sites of a process share.
+    /// Returns an address of an additional host, outside the addresses of all sites.
     pub fn side_address(&self, host: u8, port: u16) -> String {
         let (network, _) = self.base.rsplit_once('.').unwrap();
         format!("{network}.{}:{port}", SIDE_HOSTS + host)
@@ -186,7 +186,7 @@
         self.controls[replica as usize - 1] = None;
     }
 
-    /// Returns the address of a control replica that runs.
+    /// Returns the API address of a running control replica.
     pub fn any_api(&self) -> String {
         let running = self.controls.iter().position(Option::is_some).unwrap();
         self.api(running as u64 + 1)
@@ -267,8 +267,8 @@
         client::send(api, &Ask::post(&format!("/v1/plans/{plan}/confirm"), "")).await
     }
 
-    /// States an intent and confirms its plan; returns the revision. A confirmation without a clear answer may have been
-    /// accepted, so the same calls are sent again, with the same key.
+    /// Submits an intent and confirms its plan; returns the revision. A confirmation without a
+    /// clear answer may have been accepted, so the calls are retried with the same key.
     pub async fn accept(&self, intent: Value) -> String {
         let key = format!("accept-{:016x}", rand::random::<u64>());
         let ask = Ask::post("/v1/intents", intent.to_string()).key(&key);
@@ -302,7 +302,7 @@
         .await;
     }
 
-    /// Declares POST /orders of a service as running at most once.
+    /// Declares POST /orders of a service as not repeatable.
     pub async fn put_once(&self, service: &str) {
         self.accept(json!({
             "intent": "put-kind", "service": service, "kind": "order", "method": "POST",
@@ -311,7 +311,7 @@
         .await;
     }
 
-    /// Waits until these daemons hold the newest revision.
+    /// Waits until these daemons apply the newest revision.
     pub async fn in_force(&self, daemons: &[&Daemon]) {
         wait::until("the revision is in force", || async {
             let status = self.status().await?;
@@ -325,7 +325,7 @@
 }
 
 impl Drop for Site {
-    /// A test that fails shows what its processes said last.
+    /// Prints the last lines of all logs when a test fails.
     fn drop(&mut self) {
         if !std::thread::panicking() {
             return;
@@ -356,7 +356,7 @@
 
     /// Returns the value of a metric.
     pub async fn metric(&self, name: &str) -> f64 {
-        let page = wait::until("the daemon tells its metrics", || async {
+        let page = wait::until("the daemon returns its metrics", || async {
             Some(client::send(&self.metrics, &Ask::get("/metrics")).await?.body)
         })
         .await;
@@ -365,7 +365,7 @@
         lines.filter_map(|rest| rest.trim().parse::<f64>().ok()).sum()
     }
 
-    /// Waits until the daemon answers for a service.
+    /// Waits until the daemon serves a service.
     pub async fn serves(&self, service: &str) {
         wait::until("the daemon serves", || async {
             let ask = Ask::get("/ready").service(service).with_key(self.caller_key);
--- a/crates/cherrystream/tests/processes/transfers.rs
+++ b/crates/cherrystream/tests/processes/transfers.rs
@@ -1,5 +1,5 @@
-//! Long messages between control replicas arrive over thin links and broken connections, and nobody
-//! takes a leader for dead meanwhile.
+//! Long messages between control replicas arrive over slow links and broken connections, without an
+//! election meanwhile.
 
 use super::support::relay::{Mode, Relay};
 use super::support::site::Site;
@@ -17,22 +17,22 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// Bytes a second of a thin link: 2.7 Mbit/s.
-const THIN: Mode = Mode::Rate(340_000);
-/// Keys in the ledger.
+/// A slow link, with 340,000 bytes per second (2.7 Mbit/s).
+const SLOW: Mode = Mode::Rate(340_000);
+/// Number of keys in the ledger.
 const KEYS: u64 = 20_000;
-/// Claims on their way at once.
-const CLAIMS_AT_ONCE: u64 = 500;
-/// Routes of a large table: one that a replica needs most of a second to apply in a debug build.
+/// Concurrent claims.
+const CONCURRENT_CLAIMS: u64 = 500;
+/// Routes of a large table, which takes a replica most of a second to apply in a debug build.
 const ROUTES: usize = 14_000;
-/// Numbers in the text beside the routes: 1.2 MB that hardly shrink when they are packed.
+/// Random numbers in the source text of the table: 1.2 MB that hardly compress.
 const NUMBERS: usize = 37_500;
-/// Time for which a link holds before it breaks.
-const WHOLE_FOR: Duration = Duration::from_millis(1_000);
-/// Time for which it is broken.
-const CUT_FOR: Duration = Duration::from_millis(200);
-/// Time for which a call may last; longer than any here.
-const CALL: Duration = Duration::from_secs(30);
+/// Time between two interruptions of a link.
+const TIME_BETWEEN_CUTS: Duration = Duration::from_millis(1_000);
+/// Duration of an interruption.
+const CUT_DURATION: Duration = Duration::from_millis(200);
+/// Time limit of calls, longer than any call here takes.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A site whose replicas reach each other through relays.
 struct Linked {
@@ -55,14 +55,14 @@
         Linked { site, relays }
     }
 
-    /// Switches the links of a replica.
+    /// Sets the mode of all links of a replica.
     fn set(&self, replica: u64, mode: Mode) {
         let own = self.relays.iter().filter(|((from, to), _)| *from == replica || *to == replica);
         own.for_each(|(_, relay)| relay.set(mode));
     }
 
-    /// Waits until all replicas vote.
-    async fn whole(&self) {
+    /// Waits until all replicas are voters.
+    async fn all_replicas_vote(&self) {
         wait::until("all replicas vote", || async {
             let status = self.site.status().await?;
             status.needs_attention.is_empty().then_some(())
@@ -70,17 +70,17 @@
         .await;
     }
 
-    /// Waits until the leader hears a replica.
-    async fn hears(&self, replica: u64) {
-        wait::until("the replica is heard", || async {
+    /// Waits until the leader reaches a replica.
+    async fn wait_until_reachable(&self, replica: u64) {
+        wait::until("the replica is reachable", || async {
             let status = self.site.status().await?;
-            let heard = |r: &&ReplicaStatus| r.replica == replica && r.state != "unreachable";
-            status.replicas.iter().find(heard).map(|_| ())
+            let reachable = |r: &&ReplicaStatus| r.replica == replica && r.state != "unreachable";
+            status.replicas.iter().find(reachable).map(|_| ())
         })
         .await;
     }
 
-    /// Waits until a change after this index is accepted; returns the status then.
+    /// Waits until a change after this index is committed; returns the status.
     async fn accepted_after(&self, index: u64) -> StatusReply {
         wait::until("the change is accepted", || async {
             let status = self.site.status().await?;
@@ -90,25 +90,25 @@
         .await
     }
 
-    /// Breaks the links of a replica again and again.
+    /// Interrupts the links of a replica repeatedly.
     async fn break_links(&self, replica: u64) {
         loop {
-            tokio::time::sleep(WHOLE_FOR).await;
+            tokio::time::sleep(TIME_BETWEEN_CUTS).await;
             self.set(replica, Mode::Cut);
-            tokio::time::sleep(CUT_FOR).await;
-            self.set(replica, THIN);
+            tokio::time::sleep(CUT_DURATION).await;
+            self.set(replica, SLOW);
         }
     }
 }
 
-/// Claims keys at the leader, so that the state is a few MB long.
+/// Claims keys at the leader until the state has a size of a few MB.
 async fn fill_ledger(site: &Site) {
     let leader = site.leader().await;
-    let client = Arc::new(rpc::connect(&site.rpc(leader), None, CALL).await.unwrap());
+    let client = Arc::new(rpc::connect(&site.rpc(leader), None, CALL_TIMEOUT).await.unwrap());
     let mut rng = SmallRng::seed_from_u64(1);
-    for first in (0..KEYS).step_by(CLAIMS_AT_ONCE as usize) {
+    for first in (0..KEYS).step_by(CONCURRENT_CLAIMS as usize) {
         let mut running = JoinSet::new();
-        for i in first..first + CLAIMS_AT_ONCE {
+        for i in first..first + CONCURRENT_CLAIMS {
             let (client, req) = (client.clone(), claim(i, &mut rng));
             running.spawn(async move { client.claim(req).await.unwrap() });
         }
@@ -131,7 +131,7 @@
     }
 }
 
-/// Returns an order of about 0.8 MB when it is packed.
+/// Returns a route table with its source, about 0.8 MB when compressed.
 fn large_order(number: u64) -> RouteOrder {
     let mut rng = SmallRng::seed_from_u64(number);
     let route = |rng: &mut SmallRng| Route {
@@ -170,76 +170,76 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_blank_replica_gets_a_large_state_over_a_thin_link() {
+async fn a_blank_replica_receives_a_large_state_over_a_slow_link() {
     let mut linked = Linked::new().await;
-    linked.set(3, THIN);
+    linked.set(3, SLOW);
     linked.site.start_control(1);
     linked.site.start_control(2);
     linked.site.start_control(3);
-    linked.whole().await;
+    linked.all_replicas_vote().await;
     linked.site.kill_control(3);
     fill_ledger(&linked.site).await;
     fs::remove_dir_all(linked.site.data_folder(3)).unwrap();
     linked.site.start_control(3);
     let start = Instant::now();
-    linked.whole().await;
+    linked.all_replicas_vote().await;
     println!("a blank replica votes after {:?}", start.elapsed());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_state_arrives_though_its_connection_breaks_again_and_again() {
+async fn a_large_state_arrives_despite_repeated_interruptions() {
     let mut linked = Linked::new().await;
     for replica in 1..=3 {
         linked.site.start_control(replica);
     }
-    linked.whole().await;
+    linked.all_replicas_vote().await;
     linked.site.kill_control(3);
     fill_ledger(&linked.site).await;
     fs::remove_dir_all(linked.site.data_folder(3)).unwrap();
-    linked.set(3, THIN);
+    linked.set(3, SLOW);
     linked.site.start_control(3);
     let start = Instant::now();
     tokio::select! {
-        () = linked.whole() => {}
+        () = linked.all_replicas_vote() => {}
         () = linked.break_links(3) => {}
     }
     println!("a blank replica votes after {:?}", start.elapsed());
 }
 
-/// The leader needs the word of the replica to which the table travels.
+/// The leader needs the acknowledgement of the replica that receives the table.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_table_travels_over_a_thin_link_without_a_change_of_leader() {
+async fn a_large_table_over_a_slow_link_causes_no_change_of_leader() {
     let mut linked = Linked::new().await;
     for replica in 1..=3 {
         linked.site.start_control(replica);
     }
-    linked.whole().await;
+    linked.all_replicas_vote().await;
     let before = linked.site.status().await.unwrap();
     let leader = before.leader;
     let held = before.replicas.iter().map(|r| r.match_index).max().unwrap();
     let mut others = (1..=3).filter(|r| *r != leader);
-    let (thin, gone) = (others.next().unwrap(), others.next().unwrap());
+    let (slow, gone) = (others.next().unwrap(), others.next().unwrap());
     linked.site.kill_control(gone);
-    linked.set(thin, THIN);
+    linked.set(slow, SLOW);
     let packed = routes::pack(&large_order(1));
     let bytes = packed.len();
     let start = Instant::now();
-    let client = rpc::connect(&linked.site.rpc(leader), None, CALL).await.unwrap();
-    // It may take longer than a call waits for its outcome.
+    let client = rpc::connect(&linked.site.rpc(leader), None, CALL_TIMEOUT).await.unwrap();
+    // The commit may take longer than the time limit of the call at the leader.
     let answered = client.replace_routes(1, packed).await;
     let after = linked.accepted_after(held).await;
     println!("{bytes} bytes are accepted after {:?}; answer: {answered:?}", start.elapsed());
     assert_eq!((after.leader, after.term), (leader, before.term));
 }
 
-/// A replica that was away for long votes; while a snapshot travels to it, its word keeps the leader.
+/// The leader's quorum depends on a replica that is behind and receives a snapshot.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leader_keeps_its_quorum_while_a_snapshot_travels_there() {
+async fn a_leader_keeps_its_quorum_during_the_transfer_of_a_snapshot() {
     let mut linked = Linked::new().await;
     for replica in 1..=3 {
         linked.site.start_control(replica);
     }
-    linked.whole().await;
+    linked.all_replicas_vote().await;
     let before = linked.site.status().await.unwrap();
     let leader = before.leader;
     let mut others = (1..=3).filter(|r| *r != leader);
@@ -247,9 +247,9 @@
     linked.site.kill_control(behind);
     fill_ledger(&linked.site).await;
     let filled = linked.site.status().await.unwrap();
-    linked.set(behind, THIN);
+    linked.set(behind, SLOW);
     linked.site.start_control(behind);
-    linked.hears(behind).await;
+    linked.wait_until_reachable(behind).await;
     linked.site.kill_control(gone);
     linked.site.put_service("orders").await;
     let after = linked.site.status().await.unwrap();
--- a/crates/cherrystream/tests/processes/truth.rs
+++ b/crates/cherrystream/tests/processes/truth.rs
@@ -1,5 +1,5 @@
-//! "Not run" is true: requests while daemons, backend servers and links are killed or cut, counted
-//! against the stand-ins' own records of runs.
+//! The outcomes reported to callers are correct while daemons, backend servers and links fail,
+//! compared with the stand-ins' records of runs.
 
 use super::path::{self, Pair};
 use super::support::client::{self, Answer, Ask};
@@ -10,15 +10,15 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::time::Duration;
 
-/// Rounds of faults at most.
-const ROUNDS_AT_MOST: usize = 60;
-/// Callers at once.
+/// Most rounds of faults.
+const MAX_ROUNDS: usize = 60;
+/// Concurrent callers.
 const CALLERS: usize = 12;
 
-/// What callers were told, by the name of each request.
-type Told = HashMap<String, Option<Answer>>;
+/// Answers that callers received, by the name of each request; `None` without a complete answer.
+type Answers = HashMap<String, Option<Answer>>;
 
-/// What callers have been told so far, and whether they shall stop.
+/// Numbers of outcomes so far, and whether callers stop.
 #[derive(Default)]
 struct Progress {
     answered: AtomicU32,
@@ -27,7 +27,7 @@
 }
 
 impl Progress {
-    fn note(&self, answer: Option<&Answer>) {
+    fn record(&self, answer: Option<&Answer>) {
         match answer.map_or("", Answer::outcome) {
             "answered" => self.answered.fetch_add(1, Ordering::Relaxed),
             "not-run" => self.not_run.fetch_add(1, Ordering::Relaxed),
@@ -35,52 +35,54 @@
         };
     }
 
-    /// Returns whether enough was answered, and as many refusals were provoked as are wanted.
+    /// Returns whether enough requests were answered, and at least `not_run` were refused as not
+    /// run.
     fn is_enough(&self, not_run: u32) -> bool {
         self.answered.load(Ordering::Relaxed) > 100
             && self.not_run.load(Ordering::Relaxed) >= not_run
     }
 }
 
-/// Sends requests that are not repeatable, each with a path of its own, until told to stop.
-async fn load(addresses: Vec<String>, progress: Arc<Progress>) -> Told {
+/// Sends requests that are not repeatable, each with a unique name, until stopped.
+async fn load(addresses: Vec<String>, progress: Arc<Progress>) -> Answers {
     let mut callers = tokio::task::JoinSet::new();
     for caller in 0..CALLERS {
         let address = addresses[caller % addresses.len()].clone();
         let progress = progress.clone();
         callers.spawn(async move {
-            let mut told = Told::new();
+            let mut answers = Answers::new();
             for n in 0.. {
                 if progress.stop.load(Ordering::Relaxed) {
                     break;
                 }
                 let name = format!("/t/{caller}/{n}");
-                // Every other request may not be repeated by declaration and has a key.
+                // Every other request is of a kind that is declared as not repeatable, and has a
+                // key.
                 let ask = match n % 2 {
                     0 => Ask::post(&name, "x").service("quotes"),
                     _ => Ask::post("/orders", "x").service("quotes").key(&name),
                 };
                 let answer = client::send(&address, &ask).await;
-                progress.note(answer.as_ref());
-                told.insert(name, answer);
+                progress.record(answer.as_ref());
+                answers.insert(name, answer);
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
-            told
+            answers
         });
     }
-    let mut all = Told::new();
-    while let Some(told) = callers.join_next().await {
-        all.extend(told.unwrap());
+    let mut all = Answers::new();
+    while let Some(answers) = callers.join_next().await {
+        all.extend(answers.unwrap());
     }
     all
 }
 
-/// Compares what callers were told with the records; returns how many of each there were.
-fn compare(told: &Told, records: &[Vec<String>]) -> HashMap<&'static str, u32> {
+/// Compares the answers with the records of runs; returns the number of requests by result.
+fn compare(answers: &Answers, records: &[Vec<String>]) -> HashMap<&'static str, u32> {
     let mut runs = HashMap::<&str, u32>::new();
     records.iter().flatten().for_each(|run| *runs.entry(run).or_default() += 1);
     let mut counts = HashMap::new();
-    for (name, answer) in told {
+    for (name, answer) in answers {
         let ran = runs.get(name.as_str()).copied().unwrap_or(0);
         assert!(ran <= 1, "{name} ran {ran} times");
         let outcome = answer.as_ref().map_or("", Answer::outcome);
@@ -90,7 +92,7 @@
                 "answered"
             }
             "not-run" => {
-                assert_eq!(ran, 0, "{name} was told not run, and ran: {answer:?}");
+                assert_eq!(ran, 0, "{name} was reported as not run, and ran: {answer:?}");
                 "not-run"
             }
             "unknown" if ran == 0 => "unknown, not run",
@@ -107,15 +109,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn while_backend_servers_and_daemons_are_killed() {
+async fn outcomes_are_correct_while_backend_servers_and_daemons_are_killed() {
     let mut pair = path::pair_with(1, &["--work-us", "3000"]).await;
     let progress = Arc::new(Progress::default());
     let loading =
         tokio::spawn(load(vec![pair.a.caller.clone(), pair.b.caller.clone()], progress.clone()));
-    // Faults go on until they have provoked a refusal.
+    // Faults continue until a request was refused as not run.
     let mut round = 0;
     while round < 3 || !progress.is_enough(1) {
-        assert!(round < ROUNDS_AT_MOST, "nothing was provoked");
+        assert!(round < MAX_ROUNDS, "no request was refused as not run");
         round += 1;
         tokio::time::sleep(Duration::from_millis(250)).await;
         pair.server_b.process.kill();
@@ -129,14 +131,14 @@
         daemon.serves("quotes").await;
     }
     progress.stop.store(true, Ordering::Relaxed);
-    let told = loading.await.unwrap();
-    let counts = compare(&told, &records(&pair));
+    let answers = loading.await.unwrap();
+    let counts = compare(&answers, &records(&pair));
     println!("{counts:?}");
     assert!(counts["answered"] > 100 && counts["not-run"] > 0, "{counts:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn while_the_link_to_a_backend_server_is_cut_and_held() {
+async fn outcomes_are_correct_while_the_link_to_a_backend_server_is_cut_and_held() {
     let site = Site::with_control(1).await;
     let a = site.start_daemon("host-a", "a", 1);
     let b = site.start_daemon("host-b", "b", 2);
@@ -155,7 +157,7 @@
     let modes = [Mode::Cut, Mode::Hold, Mode::HoldBack, Mode::Cut];
     let mut round = 0;
     while round < modes.len() || !progress.is_enough(0) {
-        assert!(round < ROUNDS_AT_MOST, "too little was answered");
+        assert!(round < MAX_ROUNDS, "too few requests were answered");
         let mode = modes[round % modes.len()];
         round += 1;
         tokio::time::sleep(Duration::from_millis(300)).await;
@@ -164,8 +166,8 @@
         relay.set(Mode::Pass);
     }
     progress.stop.store(true, Ordering::Relaxed);
-    let told = loading.await.unwrap();
-    let counts = compare(&told, &[server_a.runs(), server_b.runs()]);
+    let answers = loading.await.unwrap();
+    let counts = compare(&answers, &[server_a.runs(), server_b.runs()]);
     println!("{counts:?}");
     assert!(counts["answered"] > 100, "{counts:?}");
 }
--- a/crates/cherrystream/tests/processes/workspaces.rs
+++ b/crates/cherrystream/tests/processes/workspaces.rs
@@ -1,4 +1,4 @@
-//! Workspaces on the own interface: from the command line to what backend servers see, and where a key shows up.
+//! Workspaces: from the command line to the headers at backend servers, without disclosure of keys.
 
 use super::path::{self, Pair};
 use super::support::client::{self, Answer, Ask};
@@ -9,12 +9,12 @@
 use std::fs;
 use std::process::Command;
 
-/// A key that an operator brings along.
+/// A key that an operator provides in a file.
 const KEY: &str = "brought-key-0123456789abcdef";
 /// A key that no workspace holds.
 const UNKNOWN: &str = "unknown-key-0123456789abcdef";
 
-/// Runs the command line; returns its exit code with what it printed.
+/// Runs the command line; returns its exit code and output.
 fn run(api: &str, args: &[&str]) -> (i32, String) {
     let program = env!("CARGO_BIN_EXE_cherrystream");
     let output = Command::new(program).args(args).args(["--api", api]).output().unwrap();
@@ -23,7 +23,7 @@
     (output.status.code().unwrap(), printed)
 }
 
-/// States an intent on the command line and confirms it; returns what the plan printed.
+/// Submits an intent on the command line and confirms its plan; returns the plan.
 fn accept(api: &str, args: &[&str]) -> Value {
     let (code, printed) = run(api, &[args, &["--json"]].concat());
     assert_eq!(code, 0, "{printed}");
@@ -47,8 +47,8 @@
     answer.work().header("cherrystream-workspace").map(str::to_string)
 }
 
-/// Fails where a key shows up in the log of a process or on its page of metrics.
-async fn assert_nowhere(pair: &Pair, keys: &[&str]) {
+/// Checks that no key is contained in a log or in the metrics of a process.
+async fn assert_not_disclosed(pair: &Pair, keys: &[&str]) {
     let mut texts = Vec::new();
     for file in fs::read_dir(pair.site.folder.path()).unwrap() {
         let path = file.unwrap().path();
@@ -63,7 +63,7 @@
     assert!(texts.len() >= 5, "control, two daemons and their metrics at least");
     for (place, text) in &texts {
         for key in keys {
-            // Not even its beginning.
+            // Nor the beginning of a key.
             assert!(!text.contains(&key[..12]), "a key is in {place}");
         }
     }
@@ -76,10 +76,10 @@
     let file = pair.site.folder.path().join("brought.key");
     fs::write(&file, format!("{KEY}\n")).unwrap();
     let file = file.to_str().unwrap();
-    // Without workspaces a caller's Authorization is the application's, and goes on.
+    // Without workspaces the Authorization header is the application's, and is forwarded.
     let own = pair.a.call(&ask(Some(UNKNOWN))).await.unwrap();
     assert_eq!(own.work().header("authorization"), Some(&*format!("Bearer {UNKNOWN}")));
-    assert_eq!(workspace_of(&own), None, "a forged name does not go on");
+    assert_eq!(workspace_of(&own), None, "a forged workspace is not forwarded");
 
     accept(&api, &["workspace", "put", "studio", "--rate", "5000", "--burst", "100"]);
     accept(&api, &["workspace", "add-key", "studio", "--key-file", file]);
@@ -90,7 +90,7 @@
 
     for daemon in [&pair.a, &pair.b] {
         for key in [KEY, &made] {
-            // Often enough for both ways, to the backend server here and to the other one.
+            // Often enough to reach the backend servers of both hosts.
             for _ in 0..8 {
                 let answer = daemon.call(&ask(Some(key))).await.unwrap();
                 assert_eq!(workspace_of(&answer).as_deref(), Some("studio"));
@@ -108,13 +108,17 @@
             assert!(answer.json()["remedy"].as_str().unwrap().contains("Bearer"));
         }
         let twice = ask(Some(KEY)).with("authorization", format!("Bearer {UNKNOWN}"));
-        assert_eq!(daemon.call(&twice).await.unwrap().status, 401, "two keys are none");
+        assert_eq!(
+            daemon.call(&twice).await.unwrap().status,
+            401,
+            "a request with two keys has no valid key"
+        );
         let nowhere = Ask::get("/work").service("nowhere");
         assert_eq!(daemon.call(&nowhere).await.unwrap().status, 401, "before 404");
     }
     assert!(pair.a.metric("cherrystream_refusals_total{reason=\"unknown-key\"}").await >= 4.0);
 
-    // A key that is revoked binds on a connection that is kept.
+    // The revocation of a key applies to connections that are already open.
     let pool = Pool::new(&pair.a.caller, Default::default());
     let kept = client::send_on(&pool, &ask(Some(KEY))).await.unwrap();
     assert_eq!(workspace_of(&kept).as_deref(), Some("studio"));
@@ -125,13 +129,13 @@
         assert_eq!(client::send_on(&pool, &ask(Some(KEY))).await.unwrap().status, 401);
         assert_eq!(pair.b.call(&ask(Some(KEY))).await.unwrap().status, 401);
     }
-    // It moves to another workspace.
+    // The key moves to another workspace.
     accept(&api, &["workspace", "put", "guild"]);
     accept(&api, &["workspace", "add-key", "guild", "--key-file", file]);
     pair.site.in_force(&[&pair.a, &pair.b]).await;
     let moved = client::send_on(&pool, &ask(Some(KEY))).await.unwrap();
     assert_eq!(workspace_of(&moved).as_deref(), Some("guild"));
-    // With the last workspace gone nobody gets in.
+    // Without workspaces every request is refused.
     accept(&api, &["workspace", "delete", "guild"]);
     accept(&api, &["workspace", "delete", "studio"]);
     pair.site.in_force(&[&pair.a, &pair.b]).await;
@@ -141,18 +145,21 @@
     accept(&api, &["workspace", "need-keys", "no"]);
     pair.site.in_force(&[&pair.a, &pair.b]).await;
     assert_eq!(workspace_of(&pair.a.call(&ask(None)).await.unwrap()), None);
-    assert_nowhere(&pair, &[KEY, &made, UNKNOWN]).await;
-    // Which key was refused is found by its digest.
+    assert_not_disclosed(&pair, &[KEY, &made, UNKNOWN]).await;
+    // The log identifies a refused key by its digest.
     let log = fs::read_to_string(pair.site.folder.path().join("host-a.log")).unwrap();
     let refused = |key: &str| format!(" key={key} outcome=not-run reason=unknown-key");
     assert!(log.contains(&refused(&workspaces::digest(UNKNOWN)[..12])));
     assert!(log.contains(&refused("none")));
-    assert!(!log.contains(" key=none outcome=answered"), "only where a key was the reason");
+    assert!(
+        !log.contains(" key=none outcome=answered"),
+        "key is logged only for refusals because of a key"
+    );
 }
 
-/// A daemon that has started and knows nothing yet must not tell callers that their key is wrong.
+/// A daemon that has started without a configuration must not reject keys as unknown.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_daemon_without_configuration_refuses_no_key() {
+async fn a_daemon_without_configuration_rejects_no_key() {
     let mut pair = path::pair(1).await;
     let digest = workspaces::digest(KEY);
     pair.site.accept(json!({"intent": "put-workspace", "workspace": "studio"})).await;
@@ -168,9 +175,9 @@
     let first = wait::until("the daemon answers", || pair.a.call(&with_key)).await;
     assert_eq!((first.status.as_u16(), first.reason()), (404, "no-such-service"));
     let without = pair.a.call(&ask(None)).await.unwrap();
-    assert_eq!(without.status, 404, "nothing is known of keys either");
+    assert_eq!(without.status, 404, "without a configuration no key is needed");
     pair.site.start_control(1);
-    wait::until("the key lets in again", || async {
+    wait::until("the key is accepted again", || async {
         let answer = pair.a.call(&ask(Some(KEY))).await?;
         assert_ne!(answer.status, 401);
         (answer.outcome() == "answered").then_some(())
@@ -180,7 +187,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_the_command_line_says_of_workspaces() {
+async fn the_command_line_manages_workspaces_and_reports_errors() {
     let pair = path::pair(1).await;
     let api = pair.site.any_api();
     let short = pair.site.folder.path().join("short.key");
@@ -206,8 +213,8 @@
         (&["workspace", "need-keys", "yes"], 1, "add a key first"),
     ];
     for (args, code, words) in wrong {
-        let (told, printed) = run(&api, args);
-        assert_eq!(told, code, "{args:?}: {printed}");
+        let (status, printed) = run(&api, args);
+        assert_eq!(status, code, "{args:?}: {printed}");
         assert!(printed.contains(words), "{args:?}: {printed}");
         assert!(!printed.contains("too-short"), "{printed}");
     }
@@ -217,7 +224,7 @@
     );
     let made = accept(&api, &["workspace", "add-key", "studio"]);
     let key = made["key"].as_str().unwrap();
-    assert!(!made["steps"].to_string().contains(key), "a plan is kept, a key is not");
+    assert!(!made["steps"].to_string().contains(key), "a key is not stored in the plan");
     let digest = workspaces::digest(key);
     for command in [&["workspace", "list"][..], &["config"][..]] {
         let (code, printed) = run(&api, command);
