--- /dev/null
+++ b/crates/cherrystream-daemon/src/health_checks.rs
@@ -0,0 +1,139 @@
+//! Health checks and probes of the backend servers of this host, within the configured rate.
+
+use crate::inbound::Inbound;
+use crate::local_server::LocalServer;
+use crate::metrics::{Metrics, ServerLabel};
+use cherrystream_core::health::Check;
+use cherrystream_net::body::{self, Body, Start};
+use cherrystream_net::clock::Clock;
+use cherrystream_net::pool::{NoAnswer, Pool};
+use cherrystream_schema::messages::ServerState;
+use http::{Request, Response, StatusCode, header};
+use serde::Deserialize;
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Time between checks of what is due.
+const TICK: Duration = Duration::from_millis(50);
+/// Time between checks of what is due while the instance is cold; a few times per request that its
+/// rate limit admits.
+const COLD_TICK: Duration = Duration::from_millis(10);
+/// Timeout of one health check.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(800);
+/// Shortest time between health checks of a backend server.
+const MIN_INTERVAL: Duration = Duration::from_millis(400);
+/// Path of the health endpoint of listed backend servers.
+const HEALTH_PATH: &str = "/health";
+/// Largest body of a health response.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024;
+
+/// Body of a health response.
+#[derive(Debug, Deserialize)]
+struct HealthBody {
+    state: ServerState,
+}
+
+/// Sends health checks and probes for as long as the process runs.
+pub async fn run(inbound: Arc<Inbound>, cx: HealthCheckContext) {
+    let mut interval = tokio::time::interval(TICK);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut due = HashMap::new();
+    loop {
+        let is_cold = inbound.local_servers.instance().is_some_and(|server| server.is_cold());
+        if is_cold {
+            tokio::time::sleep(COLD_TICK).await;
+        } else {
+            interval.tick().await;
+        }
+        let now = cx.clock.now();
+        inbound.expire_reservations();
+        inbound.local_servers.record_limit_changes();
+        if let Some(server) = inbound.local_servers.instance() {
+            server.tick();
+            // An instance of a leaving host receives no requests, so it needs no probes.
+            let is_in_service = inbound.check_leaving().is_none();
+            if is_in_service && (server.needs_slowness_probe() || server.start_warmth_probe()) {
+                tokio::spawn(probe_health(server, inbound.clone()));
+            }
+        }
+        for server in inbound.local_servers.listed() {
+            server.tick();
+            let due_at = due.entry(server.id.clone()).or_insert(now);
+            if *due_at <= now {
+                *due_at = now + server.probe_budget.lock().interval().max(MIN_INTERVAL);
+                tokio::spawn(check(server, cx.clone()));
+            }
+        }
+    }
+}
+
+/// Context of the health checks.
+#[derive(Clone)]
+pub struct HealthCheckContext {
+    /// Clock of the process.
+    pub clock: Clock,
+    /// Metrics.
+    pub metrics: Metrics,
+}
+
+async fn check(server: Arc<LocalServer>, cx: HealthCheckContext) {
+    // Spent here, where the request is sent, so that no check bypasses the budget.
+    if !server.probe_budget.lock().try_spend(cx.clock.now()) {
+        return;
+    }
+    cx.metrics.measuring.get_or_create(&ServerLabel { server: server.id.name.to_string() }).inc();
+    let result = tokio::time::timeout(CHECK_TIMEOUT, check_state(&server.backend)).await;
+    let check = match result {
+        Ok(Ok(state)) => Check::Reported(state),
+        _ => Check::Failed,
+    };
+    server.on_check(check);
+}
+
+/// Probes the slowness and the warmth of an instance; waits no longer than for a health check.
+pub async fn probe_health(server: Arc<LocalServer>, inbound: Arc<Inbound>) {
+    let Some(path) = inbound.health_path(&server.id.service) else { return };
+    let label = ServerLabel { server: server.id.name.to_string() };
+    inbound.metrics.measuring.get_or_create(&label).inc();
+    server.on_probe_sent();
+    let response = tokio::time::timeout(CHECK_TIMEOUT, request(&server.backend, &path));
+    if let Ok(Ok(res)) = response.await {
+        let (parts, body) = res.into_parts();
+        if let Some(load) = inbound.interface.read_load(&parts) {
+            server.on_load(&load);
+        }
+        server.on_health_response(&inbound.interface.read_health(&parts));
+        // The connection is reused only if the body was read.
+        let _ = body::read_start(body, MAX_RESPONSE_BYTES).await;
+    }
+}
+
+async fn request(backend: &Pool, path: &str) -> Result<Response<Body>, NoAnswer> {
+    let req = Request::get(path)
+        .header(header::HOST, backend.address())
+        .body(body::empty())
+        .map_err(|_| NoAnswer::NotSent)?;
+    let connection = backend.connection().await?;
+    backend.send(connection, req).await
+}
+
+async fn check_state(backend: &Pool) -> Result<ServerState, NoAnswer> {
+    let res = request(backend, HEALTH_PATH).await?;
+    let status = res.status();
+    read_state(status, res.into_body()).await
+}
+
+/// Reads the state from a response. A success without a readable state is considered live, so that
+/// endpoints that report no state can be used.
+async fn read_state(status: StatusCode, body: Body) -> Result<ServerState, NoAnswer> {
+    let body = match body::read_start(body, MAX_RESPONSE_BYTES).await {
+        Ok(Start::Whole(bytes)) => serde_json::from_slice::<HealthBody>(&bytes).ok(),
+        _ => return Err(NoAnswer::Broke),
+    };
+    match body {
+        Some(body) => Ok(body.state),
+        None if status.is_success() => Ok(ServerState::Live),
+        None => Err(NoAnswer::Broke),
+    }
+}
--- a/crates/cherrystream-daemon/src/outbound/send.rs
+++ b/crates/cherrystream-daemon/src/outbound/send.rs
@@ -5,7 +5,7 @@
 use crate::current_config::CurrentConfig;
 use crate::headers::{self, Op};
 use crate::hop;
-use crate::inbound::{HELD_BYTES, InboundCall};
+use crate::inbound::{InboundCall, MAX_CACHED_BYTES};
 use crate::peer::{Line, NoAnswer};
 use crate::peer_server::ClaimHeader;
 use crate::refusal::Refused;
@@ -132,7 +132,7 @@
             workspace: call.workspace_name().cloned(),
             weight: call.class.weight,
             deadline: call.deadline,
-            wait_at_most: self.remaining_wait(call),
+            max_wait: self.remaining_wait(call),
             selective: call.is_selective(),
             good_for: self.time_to_target(call),
             reservation: permits.reservation,
@@ -327,7 +327,7 @@
 /// Buffers a short answer, so that an incomplete one is detected before it is forwarded.
 async fn buffer_if_short(res: Response<Body>) -> AttemptResult {
     let (parts, body) = res.into_parts();
-    let body = match body::read_start(body, HELD_BYTES).await {
+    let body = match body::read_start(body, MAX_CACHED_BYTES).await {
         Ok(Start::Whole(bytes)) => body::full(bytes),
         Ok(Start::Longer(body)) => body,
         Err(_) => return Err(Refused::new(Reason::BackendServerBroke)),
--- a/crates/cherrystream-daemon/src/role.rs
+++ b/crates/cherrystream-daemon/src/role.rs
@@ -1,12 +1,12 @@
 //! Puts the parts of the daemon role together.
 
 use crate::current_config::CurrentConfigCell;
-use crate::doors::{DoorOptions, Doors};
 use crate::errors::Result;
+use crate::health_checks::{self, HealthCheckContext};
 use crate::inbound::Inbound;
 use crate::instances::Instances;
-use crate::ledger::Ledger;
-use crate::measure::{self, Measuring};
+use crate::ledger::LedgerClient;
+use crate::local_servers::{LocalServerOptions, LocalServers};
 use crate::metrics::Metrics;
 use crate::outbound::{Outbound, RetryOptions};
 use crate::peer::Peers;
@@ -88,10 +88,10 @@
         let peers = Arc::new(Peers::new(cx.metrics.clone()));
         let newer = Arc::new(Newer::default());
         let routes_only = all.interface == Some(InterfaceKind::Platform);
-        let doors = Arc::new(doors(&record, settings, &cx, clock));
+        let local_servers = Arc::new(local_servers(&record, settings, &cx, clock));
         let suspects = Arc::new(SuspectWatch::new(suspects::Tools {
             host: record.host.as_str().into(),
-            doors: doors.clone(),
+            doors: local_servers.clone(),
             held: held.clone(),
             peers: peers.clone(),
             key: cx.key.clone(),
@@ -102,7 +102,7 @@
         tokio::spawn(suspects.clone().run());
         let inbound = Arc::new(Inbound {
             incarnation: record.incarnation,
-            doors: doors.clone(),
+            local_servers: local_servers.clone(),
             interface: cx.interface.clone(),
             suspects: suspects.clone(),
             attempts: Mutex::new(Attempts::new(attempts::Options {
@@ -110,14 +110,14 @@
                 ..attempts::Options::default()
             })),
             reservations: Mutex::default(),
-            held: held.clone(),
+            current_config: held.clone(),
             host: record.host.as_str().into(),
             phases: cx.phases.clone(),
             stall_limit: Duration::from_millis(settings.stall_limit_ms),
             clock,
             metrics: cx.metrics.clone(),
         });
-        let instances = Arc::new(Instances::new(doors, cx.interface.clone()));
+        let instances = Arc::new(Instances::new(local_servers, cx.interface.clone()));
         let quotas = Arc::new(Quotas::new(
             &record,
             quotas::tolerance(settings),
@@ -140,7 +140,7 @@
             peers: peers.clone(),
             quotas: quotas.clone(),
             suspects: suspects.clone(),
-            ledger: Arc::new(Ledger::new(&control, cx.key.clone())),
+            ledger: Arc::new(LedgerClient::new(&control, cx.key.clone())),
             newer: newer.clone(),
             retries: RetryOptions {
                 share: settings.retry_share,
@@ -200,8 +200,8 @@
         tokio::spawn(downloads.run());
         tokio::spawn(sync.clone().run());
         tokio::spawn(sync.follow_peers(newer));
-        let measuring = Measuring { clock, metrics: cx.metrics.clone() };
-        tokio::spawn(measure::measure(inbound.clone(), measuring));
+        let health_checks = HealthCheckContext { clock, metrics: cx.metrics.clone() };
+        tokio::spawn(health_checks::run(inbound.clone(), health_checks));
         let readiness = Readiness {
             interface: cx.interface.clone(),
             ready: cx.ready,
@@ -308,16 +308,21 @@
     }
 }
 
-fn doors(record: &HostRecord, settings: &DaemonSettings, cx: &Context, clock: Clock) -> Doors {
-    let opts = DoorOptions {
+fn local_servers(
+    record: &HostRecord,
+    settings: &DaemonSettings,
+    cx: &Context,
+    clock: Clock,
+) -> LocalServers {
+    let opts = LocalServerOptions {
         queue_per_slot: settings.queue_per_slot,
         slot_share: settings.slot_share,
-        room: settings.room.unwrap_or(RoomKind::Fixed),
+        concurrency_limit: settings.room.unwrap_or(RoomKind::Fixed),
         cold_over: settings.cold_over,
         cold_slack: settings.cold_slack,
     };
     let host = record.host.as_str().into();
-    Doors::new(host, opts, clock, cx.interface.id_header(), cx.metrics.clone())
+    LocalServers::new(host, opts, clock, cx.interface.id_header(), cx.metrics.clone())
 }
 
 /// Puts each revision in force that is taken.
@@ -333,9 +338,9 @@
         let is_evacuated = shared::is_evacuated(&now.shared, &inbound.host);
         if std::mem::replace(&mut was_evacuated, is_evacuated) && !is_evacuated {
             // Its backend servers may have become cold while they got no work.
-            inbound.doors.doubt_warmth();
+            inbound.local_servers.invalidate_warmth();
         }
-        inbound.doors.set(&now);
+        inbound.local_servers.apply_config(&now);
         outbound.apply_config(&now);
     }
 }
--- a/crates/cherrystream-daemon/tests/rooms.rs
+++ b/crates/cherrystream-daemon/tests/rooms.rs
@@ -1,9 +1,9 @@
-//! The learned room behind the doors of a host.
+//! Adaptive concurrency limits of the backend servers of a host.
 
 use cherrystream_core::concurrency_limit::{Answer, ConcurrencyLimit, Work};
 use cherrystream_core::settings;
 use cherrystream_core::units::Timestamp;
-use cherrystream_daemon::doors::{DoorOptions, Doors};
+use cherrystream_daemon::local_servers::{LocalServerOptions, LocalServers};
 use cherrystream_daemon::metrics::Metrics;
 use cherrystream_daemon::own_interface::OwnInterface;
 use cherrystream_net::clock::Clock;
@@ -13,11 +13,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn doors(room: RoomKind) -> Doors {
-    let opts =
-        DoorOptions { queue_per_slot: 1.0, slot_share: 0.8, room, cold_over: 1.0, cold_slack: 1.0 };
+fn local_servers(concurrency_limit: RoomKind) -> LocalServers {
+    let opts = LocalServerOptions {
+        queue_per_slot: 1.0,
+        slot_share: 0.8,
+        concurrency_limit,
+        cold_over: 1.0,
+        cold_slack: 1.0,
+    };
     let header = OwnInterface.id_header();
-    Doors::new("own".into(), opts, Clock::default(), header, Metrics::default())
+    LocalServers::new("own".into(), opts, Clock::default(), header, Metrics::default())
 }
 
 fn instance(id: &str, service: &str, slots: u32) -> Instance {
@@ -33,69 +38,73 @@
     }
 }
 
-/// Returns the room of a server of ten slots that answers ever more slowly from the sixth on.
+/// Returns the limit of a server with ten slots whose service times rise from the sixth on.
 fn learned() -> ConcurrencyLimit {
-    let mut room = ConcurrencyLimit::new(10, 0.8);
+    let mut limit = ConcurrencyLimit::new(10, 0.8);
     let kind: Arc<str> = "quotes".into();
     for _ in 0..30 {
         for (level, took_ms) in [(5, 100), (6, 200), (7, 300), (8, 400), (9, 400), (10, 400)] {
             let took = Duration::from_millis(took_ms);
             let work = Work { kind: &kind, took, slowness_before: 100 };
-            room.on_answer(Timestamp::default(), &Answer { work, level, slowness_after: 100 });
+            limit.on_answer(Timestamp::default(), &Answer { work, level, slowness_after: 100 });
         }
     }
-    room
+    limit
 }
 
-fn limit(doors: &Doors) -> Option<u32> {
-    Some(doors.instance()?.room()?.limit())
+fn limit(local_servers: &LocalServers) -> Option<u32> {
+    Some(local_servers.instance()?.concurrency_limit()?.limit())
 }
 
 #[test]
-fn a_new_instance_begins_with_what_the_door_of_its_predecessor_has_learned() {
-    let doors = doors(RoomKind::Learned);
-    doors.set_instance(Some(&instance("i", "orders", 10)), false);
-    assert_eq!(limit(&doors), Some(8));
-    doors.instance().unwrap().learn_room(learned());
+fn a_new_instance_starts_with_the_concurrency_limit_of_its_predecessor() {
+    let local_servers = local_servers(RoomKind::Learned);
+    local_servers.set_instance(Some(&instance("i", "orders", 10)), false);
+    assert_eq!(limit(&local_servers), Some(8));
+    local_servers.instance().unwrap().set_concurrency_limit(learned());
     let known = learned().limit();
     assert!(known < 8, "{known}");
-    doors.set_instance(Some(&instance("i-2", "orders", 10)), false);
-    assert_eq!(limit(&doors), Some(known));
-    doors.set_instance(Some(&instance("i-33", "orders", 20)), false);
-    assert_eq!(limit(&doors), Some(16), "as many slots are another server");
-    doors.instance().unwrap().learn_room(learned());
-    doors.set_instance(Some(&instance("i-444", "payouts", 10)), false);
-    assert_eq!(limit(&doors), Some(8), "so is one of another service");
+    local_servers.set_instance(Some(&instance("i-2", "orders", 10)), false);
+    assert_eq!(limit(&local_servers), Some(known));
+    local_servers.set_instance(Some(&instance("i-33", "orders", 20)), false);
+    assert_eq!(
+        limit(&local_servers),
+        Some(16),
+        "a different number of slots discards the learned limit"
+    );
+    local_servers.instance().unwrap().set_concurrency_limit(learned());
+    local_servers.set_instance(Some(&instance("i-444", "payouts", 10)), false);
+    assert_eq!(limit(&local_servers), Some(8), "so does another service");
 }
 
 #[test]
-fn a_fixed_share_learns_nothing() {
-    let doors = doors(RoomKind::Fixed);
-    doors.set_instance(Some(&instance("i", "orders", 10)), false);
-    assert_eq!(limit(&doors), None);
-    assert_eq!(doors.instance().unwrap().report(1).slots, 8);
+fn a_fixed_share_has_no_adaptive_limit() {
+    let local_servers = local_servers(RoomKind::Fixed);
+    local_servers.set_instance(Some(&instance("i", "orders", 10)), false);
+    assert_eq!(limit(&local_servers), None);
+    assert_eq!(local_servers.instance().unwrap().report(1).slots, 8);
 }
 
-/// Load: a deployment with few slots, of whose share a sixth is lost by rounding, and one where it is nothing.
+/// Guards against an adaptive limit where the fixed share loses little by rounding.
 #[test]
-fn only_servers_of_whose_share_much_is_lost_by_rounding_are_learned() {
-    let doors = doors(RoomKind::LearnedIfRounded);
-    doors.set_instance(Some(&instance("i", "orders", 10)), false);
-    assert_eq!(limit(&doors), None);
-    doors.set_instance(Some(&instance("i-2", "orders", 6)), false);
-    assert_eq!(limit(&doors), Some(4));
-    doors.set_instance(Some(&instance("i-33", "orders", 12)), false);
-    assert_eq!(limit(&doors), None);
+fn the_limit_is_adaptive_only_if_rounding_loses_much_of_the_share() {
+    let local_servers = local_servers(RoomKind::LearnedIfRounded);
+    local_servers.set_instance(Some(&instance("i", "orders", 10)), false);
+    assert_eq!(limit(&local_servers), None);
+    local_servers.set_instance(Some(&instance("i-2", "orders", 6)), false);
+    assert_eq!(limit(&local_servers), Some(4));
+    local_servers.set_instance(Some(&instance("i-33", "orders", 12)), false);
+    assert_eq!(limit(&local_servers), None);
 }
 
 #[test]
-fn the_kind_of_room_is_a_setting() {
+fn the_kind_of_concurrency_limit_is_a_setting() {
     let text = "host: own\nfailure_domain: a\nclosed_network: true\ndaemon:\n  caller_address: 127.0.0.1:0\n  \
                 peer_address: 127.0.0.1:0\n  control: [127.0.0.1:1]\n  room: ";
-    let room = |word: &str| settings::read(&format!("{text}{word}\n"));
-    assert_eq!(room("learned").unwrap().daemon.unwrap().room, Some(RoomKind::Learned));
-    assert_eq!(room("fixed").unwrap().daemon.unwrap().room, Some(RoomKind::Fixed));
-    let fault = room("guessed").unwrap_err();
-    assert_eq!(fault.line, 8);
-    assert!(fault.what.contains("guessed") && fault.what.contains("learned"), "{fault}");
+    let read = |kind: &str| settings::read(&format!("{text}{kind}\n"));
+    assert_eq!(read("learned").unwrap().daemon.unwrap().room, Some(RoomKind::Learned));
+    assert_eq!(read("fixed").unwrap().daemon.unwrap().room, Some(RoomKind::Fixed));
+    let error = read("guessed").unwrap_err();
+    assert_eq!(error.line, 8);
+    assert!(error.what.contains("guessed") && error.what.contains("learned"), "{error}");
 }
