--- a/crates/cherrystream-control/src/distribution.rs
+++ b/crates/cherrystream-control/src/distribution.rs
@@ -1,7 +1,7 @@
 //! Updates of the shared state for daemons: short updates are sent inline, long ones are offered
 //! for fetching.
 
-use crate::reach::Reach;
+use crate::daemon_registry::DaemonRegistry;
 use cherrystream_core::distribution::{
     EncodedUpdate, FetchScheduler, FetchSource, MAX_INLINE_WEIGHT, Requester, UpdateCache,
 };
@@ -54,7 +54,7 @@
         now: Timestamp,
         state: &RwLock<ControlState>,
         req: &SyncRequest,
-        reach: &Reach,
+        reach: &DaemonRegistry,
     ) -> PendingUpdate {
         let requester = self.requester(&req.record.host, &req.record.failure_domain);
         let kind = state.read().update_kind_since(req.held);
@@ -83,7 +83,7 @@
         if req.fetching.as_ref().is_some_and(|f| self.is_available(f) && !supersedes(&id, f)) {
             return PendingUpdate::Nothing;
         }
-        let is_there = |host: &str| reach.is_there(now, host, id.to);
+        let is_there = |host: &str| reach.is_available(now, host, id.to);
         match self.scheduler.lock().source(now, requester, id, is_there) {
             FetchSource::Replica => {
                 let first = encoded.chunk(0, FIRST_CHUNK_BYTES).map(|data| chunks::encode(0, data));
--- a/crates/cherrystream-control/src/operators.rs
+++ b/crates/cherrystream-control/src/operators.rs
@@ -1,8 +1,8 @@
 //! Handles operator calls: intents, plans, confirmations, configuration and status.
 
+use crate::daemon_registry::{self, DaemonRegistry};
 use crate::handle::{Handle, NoResult};
 use crate::peers::ReplicaConnection;
-use crate::reach::{self, Reach};
 use cherrystream_core::errors::Error;
 use cherrystream_core::plan;
 use cherrystream_core::rollout;
@@ -41,7 +41,7 @@
     /// Connections to the other replicas.
     pub connections: Arc<BTreeMap<u64, Arc<ReplicaConnection>>>,
     /// Daemons that send heartbeats to this replica.
-    pub reach: Arc<Reach>,
+    pub reach: Arc<DaemonRegistry>,
 }
 
 impl Operators {
@@ -245,7 +245,7 @@
             queries.spawn(daemons_seen_by(connection.clone()));
         }
         all.extend(queries.join_all().await.into_iter().flatten());
-        let mut joined = reach::join(all);
+        let mut joined = daemon_registry::merge_statuses(all);
         for (host, record) in &self.handle.state.read().shared().hosts {
             joined.entry(host.clone()).or_insert_with(|| DaemonStatus {
                 host: host.clone(),
--- a/crates/cherrystream-control/src/role.rs
+++ b/crates/cherrystream-control/src/role.rs
@@ -1,19 +1,19 @@
 //! Starts and stops the control role.
 
 use crate::api::{Api, Operator};
-use crate::arrivals::Arrivals;
+use crate::daemon_registry::DaemonRegistry;
 use crate::distribution::Distribution;
 use crate::driver;
 use crate::errors::{self, Error, Result};
 use crate::folder::DiskFolder;
 use crate::handle::{Event, Handle};
+use crate::incoming_transfers::IncomingTransfers;
+use crate::member_slot::{self, FindContext, MemberSlot};
 use crate::metrics::Metrics;
 use crate::operators::Operators;
 use crate::orders::OperatorCommands;
 use crate::peers::Peers;
-use crate::place::{self, Finder, Place};
 use crate::platform;
-use crate::reach::Reach;
 use crate::registrar::Registrar;
 use crate::release;
 use crate::rollouts::{self, Rollouts};
@@ -89,7 +89,7 @@
             };
             join_task.spawn(keep_slot(handle.clone(), request, cx.key.clone()));
         }
-        let reach = Arc::new(Reach::default());
+        let reach = Arc::new(DaemonRegistry::default());
         // Calls use separate connections, so that no message of the log waits behind a large call.
         let connections =
             connections.into_iter().map(|(id, connection)| (id, Arc::new(connection.sibling())));
@@ -106,7 +106,7 @@
             handle: handle.clone(),
             connections,
             reach,
-            arrivals: Arrivals::new(handle.events.clone()),
+            arrivals: IncomingTransfers::new(handle.events.clone()),
             distribution: Arc::new(Distribution::new(&cx.failure_domain)),
             registrar: Registrar::start(&operators, cx.metrics.clone()),
             rollouts: Rollouts::new(rollout_limits(settings)),
@@ -190,7 +190,7 @@
         let addresses = handle.known_addresses();
         attempt += 1;
         let Some(address) = addresses.get(attempt % addresses.len().max(1)) else { continue };
-        let reply = place::ask(address, &request, key.as_ref()).await;
+        let reply = member_slot::request(address, &request, key.as_ref()).await;
         if reply.is_some_and(|reply| reply.place_lost) {
             let _ = handle.events.send(Event::Replaced);
         }
@@ -201,10 +201,13 @@
     settings: &ControlSettings,
     cx: &Context,
     folder: &DiskFolder,
-) -> Result<Place> {
-    let finder =
-        Finder { failure_domain: &cx.failure_domain, key: cx.key.as_ref(), metrics: &cx.metrics };
-    place::find(settings, folder, &finder).await
+) -> Result<MemberSlot> {
+    let finder = FindContext {
+        failure_domain: &cx.failure_domain,
+        key: cx.key.as_ref(),
+        metrics: &cx.metrics,
+    };
+    member_slot::find(settings, folder, &finder).await
 }
 
 fn rollout_limits(settings: &ControlSettings) -> Limits {
--- a/crates/cherrystream-control/src/rpc_server.rs
+++ b/crates/cherrystream-control/src/rpc_server.rs
@@ -1,13 +1,13 @@
 //! RPC server of a control replica, called by daemons and by the other replicas.
 
-use crate::arrivals::Arrivals;
+use crate::daemon_registry::DaemonRegistry;
 use crate::distribution::{Distribution, PendingUpdate};
 use crate::errors::{Error, Result};
 use crate::handle::{Event, Handle, NoResult};
+use crate::incoming_transfers::IncomingTransfers;
 use crate::metrics::Metrics;
 use crate::operators::Operators;
 use crate::peers::ReplicaConnection;
-use crate::reach::Reach;
 use crate::registrar::Registrar;
 use crate::rollouts::Rollouts;
 use cherrystream_core::instances;
@@ -65,7 +65,7 @@
     /// Connections to the other replicas.
     pub connections: Arc<BTreeMap<u64, Arc<ReplicaConnection>>>,
     /// Daemons that send heartbeats to this replica.
-    pub reach: Arc<Reach>,
+    pub reach: Arc<DaemonRegistry>,
     /// Selects and encodes updates for daemons.
     pub distribution: Arc<Distribution>,
     /// Handles operator calls.
@@ -75,7 +75,7 @@
     /// Roll-outs in progress.
     pub rollouts: Rollouts,
     /// Long messages that are being received in pieces.
-    pub arrivals: Arrivals,
+    pub arrivals: IncomingTransfers,
     /// Limits of the ledger of idempotency keys.
     pub limits: LedgerLimits,
     /// Failure domain of this host; `None` if the set of replicas is fixed.
@@ -253,14 +253,14 @@
 #[async_trait]
 impl ControlRpcServer for RpcServer {
     async fn raft(&self, messages: Vec<RaftMessage>) -> RpcResult<()> {
-        self.arrivals.tidy(self.handle.clock.now());
+        self.arrivals.discard_stalled(self.handle.clock.now());
         let sent = self.handle.events.send(Event::Messages(messages));
         sent.map_err(|_| rpc::unavailable("this replica has stopped"))
     }
 
     async fn sync(&self, req: SyncRequest) -> RpcResult<SyncReply> {
         self.metrics.heartbeats.inc();
-        self.reach.hear(self.handle.clock.now(), &req);
+        self.reach.record_heartbeat(self.handle.clock.now(), &req);
         if let Some(tally) = req.tally.clone() {
             let HostRecord { host, incarnation, .. } = req.record.clone();
             self.rollouts.record_counts(HostTally { host, incarnation, tally });
@@ -378,7 +378,7 @@
             return Err(rpc::unavailable("the sender is not a replica of this group"));
         }
         let from = piece.from;
-        match self.arrivals.take(self.handle.clock.now(), piece).await {
+        match self.arrivals.receive(self.handle.clock.now(), piece).await {
             Ok(held) => Ok(PieceReply { held }),
             Err(e) => {
                 log::debug!("control: a piece from replica {from} is rejected: {e}");
