--- a/crates/cherrystream-control/src/driver.rs
+++ b/crates/cherrystream-control/src/driver.rs
@@ -4,7 +4,7 @@
 use crate::applier::{Applier, Outcome};
 use crate::errors::{Error, Result};
 use crate::folder::Folder;
-use crate::handle::{Event, Handle, NoResult, Standing};
+use crate::handle::{Event, Handle, LogStatus, NoResult};
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 use crate::snapshots::{self, FinishedSnapshot};
@@ -39,7 +39,7 @@
     pub(crate) raft: Raft,
     pub(crate) store: Store<F>,
     pub(crate) state: Arc<RwLock<ControlState>>,
-    standing: watch::Sender<Standing>,
+    status: watch::Sender<LogStatus>,
     addresses: Arc<RwLock<BTreeMap<u64, ReplicaAddress>>>,
     last_quorum_contact: Arc<RwLock<Option<Timestamp>>>,
     caught_up: Arc<RwLock<Option<Timestamp>>>,
@@ -103,14 +103,14 @@
     let (events, rx) = mpsc::channel();
     let applier = Applier::start(state.clone(), applied, events.clone(), metrics.clone())
         .map_err(crate::errors::folder("start the thread that applies entries"))?;
-    let (standing, standing_rx) = watch::channel(Standing::default());
+    let (status, status_rx) = watch::channel(LogStatus::default());
     let addresses = Arc::<RwLock<BTreeMap<u64, ReplicaAddress>>>::default();
     let last_quorum_contact = Arc::<RwLock<Option<Timestamp>>>::default();
     let caught_up = Arc::<RwLock<Option<Timestamp>>>::default();
     let handle = Handle {
         events,
         state: state.clone(),
-        standing: standing_rx,
+        status: status_rx,
         replica: id,
         addresses: addresses.clone(),
         last_quorum_contact: last_quorum_contact.clone(),
@@ -121,7 +121,7 @@
         raft,
         store,
         state,
-        standing,
+        status,
         addresses,
         last_quorum_contact,
         caught_up,
@@ -326,33 +326,33 @@
 
     /// Publishes the state of the log, and fails the pending calls after a loss of leadership.
     fn publish(&mut self) {
-        let standing = Standing {
+        let status = LogStatus {
             term: self.raft.term(),
             leader: self.raft.leader(),
             leads: self.raft.is_leader(),
             applied: self.applied.index,
             votes: self.raft.is_voter(),
         };
-        if self.was_leader && !standing.leads {
+        if self.was_leader && !status.leads {
             self.fail_pending();
         }
-        if self.was_leader != standing.leads {
-            let change = if standing.leads { "became leader" } else { "is no longer leader" };
-            log::info!("control: replica {} {change} in term {}", self.raft.id(), standing.term);
+        if self.was_leader != status.leads {
+            let change = if status.leads { "became leader" } else { "is no longer leader" };
+            log::info!("control: replica {} {change} in term {}", self.raft.id(), status.term);
         }
-        self.was_leader = standing.leads;
+        self.was_leader = status.leads;
         self.publish_group();
-        self.finish_leadership_transfer(standing.leads);
-        self.metrics.term.set(standing.term as i64);
+        self.finish_leadership_transfer(status.leads);
+        self.metrics.term.set(status.term as i64);
         self.metrics.commit.set(self.raft.commit() as i64);
-        self.metrics.leads.set(i64::from(standing.leads));
+        self.metrics.leads.set(i64::from(status.leads));
         self.metrics.log_bytes.set(self.store.bytes() as i64);
-        if self.standing.borrow().leader != standing.leader {
-            self.peers.note_leader(standing.leader);
+        if self.status.borrow().leader != status.leader {
+            self.peers.note_leader(status.leader);
         }
-        self.standing.send_if_modified(|old| {
-            let changed = *old != standing;
-            *old = standing;
+        self.status.send_if_modified(|old| {
+            let changed = *old != status;
+            *old = status;
             changed
         });
     }
--- a/crates/cherrystream-control/src/handle.rs
+++ b/crates/cherrystream-control/src/handle.rs
@@ -55,7 +55,7 @@
 
 /// Status of the replicated log on this replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Standing {
+pub struct LogStatus {
     /// Current term.
     pub term: u64,
     /// The leader, if known.
@@ -76,7 +76,7 @@
     /// The applied state. Held only for short reads, never across an await.
     pub state: Arc<RwLock<ControlState>>,
     /// Status of the log.
-    pub standing: watch::Receiver<Standing>,
+    pub status: watch::Receiver<LogStatus>,
     /// Number of this replica.
     pub replica: u64,
     /// Addresses of all replicas; empty if the addresses are fixed.
@@ -145,8 +145,8 @@
 
     /// Returns the membership of this replica in its group.
     pub fn place_view(&self) -> PlaceView {
-        let standing = *self.standing.borrow();
-        PlaceView { leads: standing.leads, votes: standing.votes, word: self.quorum_contact() }
+        let status = *self.status.borrow();
+        PlaceView { leads: status.leads, votes: status.votes, word: self.quorum_contact() }
     }
 
     /// Waits until this replica has applied every change accepted before the call.
@@ -168,8 +168,8 @@
     ///
     /// Fails if the wait times out.
     pub async fn applied(&self, index: u64) -> Result<(), NoResult> {
-        let mut standing = self.standing.clone();
-        let waiting = standing.wait_for(|s| s.applied >= index);
+        let mut status = self.status.clone();
+        let waiting = status.wait_for(|s| s.applied >= index);
         match tokio::time::timeout(COMMIT_TIMEOUT, waiting).await {
             Ok(Ok(_)) => Ok(()),
             _ => Err(NoResult::Unknown),
--- a/crates/cherrystream-control/src/operators.rs
+++ b/crates/cherrystream-control/src/operators.rs
@@ -47,11 +47,11 @@
 impl Operators {
     /// Handles a call on the leader; forwards it if another replica leads.
     pub async fn answer(&self, call: OperatorCall) -> OperatorAnswer {
-        let standing = *self.handle.standing.borrow();
-        if standing.leads {
+        let status = *self.handle.status.borrow();
+        if status.leads {
             return self.answer_here(&call).await;
         }
-        let client = match standing.leader {
+        let client = match status.leader {
             Some(leader) => self.client_of(leader).await,
             None => None,
         };
@@ -220,13 +220,13 @@
         let daemons = self.daemons().await;
         let replicas = self.replicas().await;
         let state = self.handle.state.read();
-        let standing = *self.handle.standing.borrow();
+        let status = *self.handle.status.borrow();
         json(
             200,
             &StatusReply {
                 revision: DisplayRevision(state.revision()).to_string(),
                 leader: self.handle.replica,
-                term: standing.term,
+                term: status.term,
                 needs_attention: needs_attention(&replicas, &daemons, state.shared()),
                 replicas,
                 daemons,
@@ -262,7 +262,7 @@
         let mut all = vec![ReplicaStatus {
             replica: self.handle.replica,
             state: "leader".into(),
-            match_index: self.handle.standing.borrow().applied,
+            match_index: self.handle.status.borrow().applied,
         }];
         for view in self.handle.views().await {
             let state = if self.handle.since(view.last_seen) > REPLICA_TIMEOUT {
--- a/crates/cherrystream-control/src/platform.rs
+++ b/crates/cherrystream-control/src/platform.rs
@@ -24,7 +24,7 @@
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
-        if !handle.standing.borrow().leads {
+        if !handle.status.borrow().leads {
             continue;
         }
         match tokio::time::timeout(READ_TIMEOUT, read_list(&url)).await {
--- a/crates/cherrystream-control/src/registrar.rs
+++ b/crates/cherrystream-control/src/registrar.rs
@@ -77,10 +77,10 @@
     /// Commits changes through the leader. Fails at once when the leader changes.
     async fn share(&self, changes: Vec<Change>) -> Result<(), ErrorObjectOwned> {
         let leader = self.known_leader().await;
-        let mut standing = self.handle.standing.clone();
+        let mut status = self.handle.status.clone();
         tokio::select! {
             shared = self.share_now(changes) => shared,
-            _ = standing.wait_for(|now| now.leader != leader) => {
+            _ = status.wait_for(|now| now.leader != leader) => {
                 self.metrics.refuse("no-quorum");
                 Err(rpc::unavailable("the leader has changed; send the same call again"))
             }
@@ -88,10 +88,10 @@
     }
 
     async fn known_leader(&self) -> Option<u64> {
-        let mut standing = self.handle.standing.clone();
-        let known = standing.wait_for(|standing| standing.leader.is_some());
+        let mut status = self.handle.status.clone();
+        let known = status.wait_for(|status| status.leader.is_some());
         match tokio::time::timeout(LEADER_TIMEOUT, known).await {
-            Ok(Ok(standing)) => standing.leader,
+            Ok(Ok(status)) => status.leader,
             _ => None,
         }
     }
--- a/crates/cherrystream-control/src/release.rs
+++ b/crates/cherrystream-control/src/release.rs
@@ -15,9 +15,9 @@
 
 async fn run(handle: Handle, released: watch::Sender<Revision>) {
     let mut schedule = BatchSchedule::default();
-    let mut standing = handle.standing.clone();
+    let mut status = handle.status.clone();
     loop {
-        let changed = standing.wait_for(|_| revision(&handle) > *released.borrow());
+        let changed = status.wait_for(|_| revision(&handle) > *released.borrow());
         if changed.await.is_err() {
             return;
         }
--- a/crates/cherrystream-control/src/rollouts.rs
+++ b/crates/cherrystream-control/src/rollouts.rs
@@ -63,11 +63,11 @@
 
     /// Runs until the replicated log ends.
     pub async fn run(self, cx: Context) {
-        let mut standing = cx.handle.standing.clone();
+        let mut status = cx.handle.status.clone();
         loop {
             if !self.is_any_in_progress(&cx.handle) {
                 self.unsent.lock().clear();
-                if standing.changed().await.is_err() {
+                if status.changed().await.is_err() {
                     return;
                 }
                 // Entries are applied in bursts: handles a whole burst at once.
@@ -88,13 +88,13 @@
     async fn forward_counts(&self, cx: &Context) {
         let tallies: Vec<HostTally> =
             std::mem::take(&mut *self.unsent.lock()).into_values().collect();
-        let standing = *cx.handle.standing.borrow();
+        let status = *cx.handle.status.borrow();
         if tallies.is_empty() {
             return;
         }
         // A follower evaluates the counts too, to have them if it becomes the leader.
         self.on_counts(&cx.handle, &tallies);
-        let Some(leader) = standing.leader.filter(|_| !standing.leads) else { return };
+        let Some(leader) = status.leader.filter(|_| !status.leads) else { return };
         let Some(connection) = cx.connections.get(&leader) else { return };
         let forwarding = async {
             let client = connection.client().await?;
@@ -114,7 +114,7 @@
             let state = handle.state.read();
             self.controller.lock().decide(at, state.shared())
         };
-        if due.is_empty() || !handle.standing.borrow().leads {
+        if due.is_empty() || !handle.status.borrow().leads {
             return;
         }
         let descriptions: Vec<String> = due.iter().map(describe).collect();
--- a/crates/cherrystream-control/src/rpc_server.rs
+++ b/crates/cherrystream-control/src/rpc_server.rs
@@ -157,8 +157,8 @@
         }
         let Some(instance) = unregistered else { return Ok(false) };
         // The leader has applied the registration; this replica may lag behind.
-        let mut standing = self.handle.standing.clone();
-        let applied = standing.wait_for(|_| self.is_registered(&record.host, instance));
+        let mut status = self.handle.status.clone();
+        let applied = status.wait_for(|_| self.is_registered(&record.host, instance));
         let _ = tokio::time::timeout(REGISTRATION_TIMEOUT, applied).await;
         Ok(true)
     }
--- a/crates/cherrystream-control/src/tables.rs
+++ b/crates/cherrystream-control/src/tables.rs
@@ -55,9 +55,9 @@
     }
 
     async fn wait_for_table(&self, number: u64) {
-        let mut standing = self.handle.standing.clone();
+        let mut status = self.handle.status.clone();
         let held = || self.handle.state.read().route_number() >= number;
-        let _ = tokio::time::timeout(TABLE_TIMEOUT, standing.wait_for(|_| held())).await;
+        let _ = tokio::time::timeout(TABLE_TIMEOUT, status.wait_for(|_| held())).await;
     }
 
     /// Commits a route table command through the leader. Returns `None` if the outcome is unknown.
--- a/crates/cherrystream-control/tests/driver.rs
+++ b/crates/cherrystream-control/tests/driver.rs
@@ -37,7 +37,7 @@
 async fn a_replica_responds_while_it_applies_a_long_log() {
     let folder = tempfile::tempdir().unwrap();
     let (handle, thread) = open(folder.path());
-    handle.standing.clone().wait_for(|s| s.leads).await.unwrap();
+    handle.status.clone().wait_for(|s| s.leads).await.unwrap();
     for number in 1..=TABLES {
         let packed = routes::pack(&support::order(number, ROUTES_PER_TABLE));
         handle.propose(Command::ReplaceRoutes { packed, number: 0 }).await.unwrap();
@@ -48,7 +48,7 @@
     let mut responses = 0;
     loop {
         handle.views().await;
-        let applied = handle.standing.borrow().applied;
+        let applied = handle.status.borrow().applied;
         if handle.state.read().route_number() == TABLES {
             break;
         }
@@ -72,7 +72,7 @@
 async fn a_replica_responds_while_it_applies_one_large_table() {
     let folder = tempfile::tempdir().unwrap();
     let (handle, thread) = open(folder.path());
-    handle.standing.clone().wait_for(|s| s.leads).await.unwrap();
+    handle.status.clone().wait_for(|s| s.leads).await.unwrap();
     let packed = routes::pack(&support::order(1, LARGE_TABLE_ROUTES));
     let proposing = handle.clone();
     let proposed = tokio::spawn(async move {
