--- a/crates/cherrystream-control/src/rollouts.rs
+++ b/crates/cherrystream-control/src/rollouts.rs
@@ -61,7 +61,7 @@
         tallies.iter().for_each(|tally| controller.on_tally(now, tally));
     }
 
-    /// Runs until the replicated log ends.
+    /// Returns once the replicated log has ended and no roll-out is in progress.
     pub async fn run(self, cx: Context) {
         let mut status = cx.handle.status.clone();
         loop {
