--- a/crates/cherrystream-bench/src/claims.rs
+++ b/crates/cherrystream-bench/src/claims.rs
@@ -1,4 +1,4 @@
-//! What claims cost control, by their rate.
+//! Resource use of control by the rate of claims.
 
 use crate::group::Group;
 use crate::stats;
@@ -9,12 +9,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Claims a second, where no others are asked for.
-pub const RATES: [u64; 4] = [500, 1_000, 2_000, 4_000];
-/// Longest time for one call.
+/// Default rates in claims per second.
+pub const DEFAULT_RATES: [u64; 4] = [500, 1_000, 2_000, 4_000];
+/// Timeout of one call.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What claims cost: the time of one by the rate, and the leader's processor time and memory.
+/// Measures, for each rate, the latency of claims and the replicas' processor time, memory and
+/// disk use.
 pub async fn run(rates: &[u64], seconds: f64) -> Result<(), String> {
     let group = Group::start(3).await?;
     let leader = group.leader().await?;
@@ -35,7 +36,7 @@
     for &rate in rates {
         let before = group.costs();
         let at = Instant::now();
-        let times = claim_at(&address, rate, seconds).await?;
+        let times = send_claims(&address, rate, seconds).await?;
         let span = at.elapsed().as_secs_f64();
         let after = group.costs();
         let cpu = |i: usize| (after[i].cpu - before[i].cpu) / span * 100.0;
@@ -57,11 +58,12 @@
         points.push((granted, cpu(leader)));
     }
     let line = stats::fit(&points);
-    println!("leader cpu%: {:.2} + {:.5} for each claim a second", line.base, line.slope);
+    println!("leader cpu%: {:.2} + {:.5} for each claim a second", line.intercept, line.slope);
     Ok(())
 }
 
-async fn claim_at(address: &str, rate: u64, seconds: f64) -> Result<Vec<f64>, String> {
+/// Sends claims at a constant rate, and returns the latencies of the granted ones in milliseconds.
+async fn send_claims(address: &str, rate: u64, seconds: f64) -> Result<Vec<f64>, String> {
     let mut clients = Vec::new();
     for _ in 0..8 {
         let client = rpc::connect(address, None, TIMEOUT).await.map_err(|e| e.to_string())?;
@@ -76,7 +78,7 @@
         let client = clients[i as usize % clients.len()].clone();
         sending.spawn(async move {
             let sent = Instant::now();
-            let granted = client.claim(claim()).await;
+            let granted = client.claim(new_claim()).await;
             matches!(granted, Ok(ClaimReply::Granted { .. }))
                 .then(|| sent.elapsed().as_secs_f64() * 1_000.0)
         });
@@ -88,7 +90,7 @@
     Ok(times)
 }
 
-fn claim() -> ClaimRequest {
+fn new_claim() -> ClaimRequest {
     ClaimRequest {
         service: "payouts".into(),
         key: format!("{:032x}", rand::rng().random::<u128>()),
--- a/crates/cherrystream-bench/src/group.rs
+++ b/crates/cherrystream-bench/src/group.rs
@@ -1,4 +1,4 @@
-//! Control replicas and daemons as processes of their own.
+//! Control replicas and daemons, each in a process of its own.
 
 use crate::process::{Cost, Process};
 use crate::rig;
@@ -9,12 +9,12 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Longest time for one call.
+/// Timeout of one call.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A control group.
 pub struct Group {
-    /// Loopback address of all its processes.
+    /// Loopback IP address of all processes.
     pub base: String,
     folder: tempfile::TempDir,
     replicas: u64,
@@ -50,7 +50,7 @@
         Pool::new(&format!("{}:7301", self.base), Counter::default())
     }
 
-    /// States an intent and confirms its plan.
+    /// Submits an intent and confirms its plan; retries until control accepts it.
     pub async fn accept(&self, intent: Intent) -> Result<(), String> {
         let start = Instant::now();
         let text = serde_json::to_string(&intent).map_err(|e| e.to_string())?;
@@ -69,12 +69,12 @@
         }
     }
 
-    /// Returns what each replica has cost so far.
+    /// Returns each replica's resource use so far.
     pub fn costs(&self) -> Vec<Cost> {
         self.processes.iter().map(Process::cost).collect()
     }
 
-    /// Returns the place of the leader among the replicas.
+    /// Returns the leader's index among the replicas.
     pub async fn leader(&self) -> Result<usize, String> {
         for r in 1..=self.replicas as usize {
             let address = format!("{}:720{r}", self.base);
@@ -83,7 +83,7 @@
                 return Ok(r - 1);
             }
         }
-        Err("control has no leader".into())
+        Err("control has no leader; check that a majority of the replicas is running".into())
     }
 
     /// Returns the folder with the replicas' data.
@@ -91,7 +91,7 @@
         self.folder.path()
     }
 
-    /// Returns where callers reach a daemon.
+    /// Returns the address at which a daemon accepts callers.
     pub fn caller(&self, number: u16) -> String {
         format!("{}:{}", self.base, 7400 + number * 10)
     }
--- a/crates/cherrystream-bench/src/light.rs
+++ b/crates/cherrystream-bench/src/light.rs
@@ -1,4 +1,4 @@
-//! Light daemons: each only keeps its heartbeat and fetches what control offers, as a daemon does.
+//! Light daemons: tasks that only send heartbeats and fetch the updates that control offers.
 
 use cherrystream_core::distribution::{ChunkOutcome, Download};
 use cherrystream_core::transfer::PieceSize;
@@ -15,14 +15,14 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Longest time for one call.
+/// Timeout of one call.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// Time within which a change is to be in force, as in the daemon's settings.
-const WITHIN: Duration = Duration::from_secs(18);
-/// Time that a heartbeat waits, as in the daemon.
+/// Time within which a change must be applied; the daemon's default setting.
+const APPLY_WITHIN: Duration = Duration::from_secs(18);
+/// Time that a heartbeat waits for a change, as in the daemon.
 const WAIT_MS: u64 = 4_000;
 
-/// Returns the registration of a light daemon.
+/// Returns the registration of the light daemon with number `i`.
 pub fn record(i: u64) -> HostRecord {
     HostRecord {
         host: format!("host-{i:04}"),
@@ -34,45 +34,51 @@
     }
 }
 
-/// Light daemons.
-pub struct Light {
-    newest: Arc<Vec<AtomicU64>>,
+/// A set of running light daemons.
+pub struct LightDaemons {
+    revisions: Arc<Vec<AtomicU64>>,
     bytes: Arc<AtomicU64>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
 
-impl Light {
-    /// Starts light daemons that spread over the three replicas.
-    pub fn start(base: &str, count: u64) -> Light {
-        let newest: Arc<Vec<AtomicU64>> = Arc::new((0..count).map(|_| AtomicU64::new(0)).collect());
+impl LightDaemons {
+    /// Starts light daemons, distributed over the three replicas.
+    pub fn start(base: &str, count: u64) -> LightDaemons {
+        let revisions: Arc<Vec<AtomicU64>> =
+            Arc::new((0..count).map(|_| AtomicU64::new(0)).collect());
         let bytes = Arc::new(AtomicU64::new(0));
         let tasks = (0..count)
             .map(|i| {
                 let address = format!("{base}:720{}", i % 3 + 1);
-                tokio::spawn(beat(address, i, newest.clone(), bytes.clone()))
+                tokio::spawn(run_heartbeats(address, i, revisions.clone(), bytes.clone()))
             })
             .collect();
-        Light { newest, bytes, tasks }
+        LightDaemons { revisions, bytes, tasks }
     }
 
-    /// Returns the lowest index of a revision that any of them holds.
+    /// Returns the lowest revision index among the daemons.
     pub fn lowest(&self) -> u64 {
-        self.newest.iter().map(|n| n.load(Ordering::Relaxed)).min().unwrap_or(0)
+        self.revisions.iter().map(|n| n.load(Ordering::Relaxed)).min().unwrap_or(0)
     }
 
-    /// Returns the bytes of all messages so far.
+    /// Returns the total size of all messages so far in bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 }
 
-impl Drop for Light {
+impl Drop for LightDaemons {
     fn drop(&mut self) {
         self.tasks.iter().for_each(tokio::task::JoinHandle::abort);
     }
 }
 
-async fn beat(address: String, i: u64, newest: Arc<Vec<AtomicU64>>, bytes: Arc<AtomicU64>) {
+async fn run_heartbeats(
+    address: String,
+    i: u64,
+    revisions: Arc<Vec<AtomicU64>>,
+    bytes: Arc<AtomicU64>,
+) {
     let mut held = Revision::default();
     let mut confirmed = false;
     let record = record(i);
@@ -81,23 +87,23 @@
             tokio::time::sleep(Duration::from_millis(300)).await;
             continue;
         };
-        let line = Line { client, record: record.clone(), bytes: bytes.clone() };
-        while let Some(reply) = line.sync(held, confirmed).await {
+        let connection = Connection { client, record: record.clone(), bytes: bytes.clone() };
+        while let Some(reply) = connection.sync(held, confirmed).await {
             confirmed = true;
-            held = held.max(line.take(reply).await);
-            newest[i as usize].store(held.index, Ordering::Relaxed);
+            held = held.max(connection.on_reply(reply).await);
+            revisions[i as usize].store(held.index, Ordering::Relaxed);
         }
     }
 }
 
 /// A light daemon's connection to its replica.
-struct Line {
+struct Connection {
     client: WsClient,
     record: HostRecord,
     bytes: Arc<AtomicU64>,
 }
 
-impl Line {
+impl Connection {
     async fn sync(&self, held: Revision, confirmed: bool) -> Option<SyncReply> {
         let req = SyncRequest {
             record: self.record.clone(),
@@ -116,8 +122,8 @@
         Some(reply)
     }
 
-    /// Takes what a replica tells of the state, and returns the revision that it leads to.
-    async fn take(&self, reply: SyncReply) -> Revision {
+    /// Applies a replica's reply, and returns the resulting revision.
+    async fn on_reply(&self, reply: SyncReply) -> Revision {
         match (reply.update, reply.offer) {
             (Some(update), _) => update.revision,
             (None, Some(offer)) => self.fetch(offer).await.unwrap_or_default(),
@@ -125,11 +131,11 @@
         }
     }
 
-    /// Fetches an update from control, also where peers are named: light daemons serve none. A daemon rests
-    /// between chunks; a light one doesn't, so that the time is that of the work.
+    /// Fetches an update from control even if peers are offered, because light daemons serve none.
+    /// Doesn't pause between chunks, unlike a daemon, so that only the work is timed.
     async fn fetch(&self, offer: Offer) -> Option<Revision> {
         let clock = Clock::default();
-        let mut download = Download::new(clock.now(), offer.id, WITHIN)?;
+        let mut download = Download::new(clock.now(), offer.id, APPLY_WITHIN)?;
         let mut piece_size = PieceSize::default();
         let mut chunk = offer.first;
         loop {
@@ -149,9 +155,9 @@
                 failure_domain: self.record.failure_domain.clone(),
             };
             self.count(&req);
-            let asked = clock.now();
+            let requested = clock.now();
             let reply = self.client.chunk(req).await.ok()?;
-            piece_size.on_reply(clock.now().since(asked));
+            piece_size.on_reply(clock.now().since(requested));
             self.count(&reply);
             chunk = Some(reply.chunk?);
         }
--- a/crates/cherrystream-bench/src/main.rs
+++ b/crates/cherrystream-bench/src/main.rs
@@ -1,4 +1,4 @@
-//! Measures cherrystream: added time, choices under faults, and slopes for the capacity page.
+//! Benchmarks of cherrystream: added latency, behaviour under faults, quotas and resource use.
 //! Not shipped.
 
 #![forbid(unsafe_code)]
@@ -21,7 +21,7 @@
 use argh::FromArgs;
 use std::process::ExitCode;
 
-/// Measure cherrystream; see docs/MEASUREMENTS.md and docs/CAPACITY.md for what to run.
+/// Measure cherrystream; docs/MEASUREMENTS.md and docs/CAPACITY.md list the runs.
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
--- a/crates/cherrystream-bench/src/plot.rs
+++ b/crates/cherrystream-bench/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots.
+//! Line plots as SVG files.
 
 use plotters::prelude::{
     BLACK, BLUE, ChartBuilder, GREEN, IntoDrawingArea, LineSeries, MAGENTA, RED, RGBColor,
@@ -7,18 +7,18 @@
 
 /// Size of a plot in pixels.
 const SIZE: (u32, u32) = (900, 420);
-/// Colours of the series, in their order.
+/// Colours of the series, in order.
 const COLOURS: [RGBColor; 5] = [BLUE, RED, GREEN, MAGENTA, BLACK];
 
-/// A series of points with its name.
+/// A named series of points.
 pub struct Series {
-    /// Name; told in the caption in the order of the colours.
+    /// Name shown in the caption.
     pub name: String,
-    /// Points.
+    /// Points as (x, y).
     pub points: Vec<(f64, f64)>,
 }
 
-/// Writes a plot as SVG.
+/// Writes a plot of the series to an SVG file.
 pub fn write(path: &str, caption: &str, series: &[Series]) -> Result<(), String> {
     let all = || series.iter().flat_map(|s| s.points.iter());
     let x_max = all().map(|p| p.0).fold(1.0, f64::max);
--- a/crates/cherrystream-bench/src/rig.rs
+++ b/crates/cherrystream-bench/src/rig.rs
@@ -1,4 +1,4 @@
-//! A site inside this process: control, daemons and stand-in backend servers.
+//! A site inside this process: control, daemons and simulated backend servers.
 
 use cherrystream_control::role::{self as control_role, Control};
 use cherrystream_core::settings;
@@ -17,26 +17,26 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// Each site has loopback addresses of its own.
-static SITES: AtomicU32 = AtomicU32::new(1);
-/// Longest wait for a site to be in order.
+/// Number of the next site; each site has its own loopback address.
+static NEXT_SITE: AtomicU32 = AtomicU32::new(1);
+/// Timeout for a site to start and settle.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A backend server of a site.
 pub struct Server {
-    /// The stand-in itself.
+    /// The simulated server.
     pub backend: Arc<Backend>,
 }
 
-/// A site.
+/// A running site.
 pub struct Rig {
     base: String,
     _folder: tempfile::TempDir,
     _control: Control,
     daemons: Vec<Daemon>,
-    /// Addresses for callers, one for each daemon.
+    /// Addresses at which the daemons accept callers.
     pub callers: Vec<String>,
-    /// Backend servers.
+    /// Backend servers in the order of their start.
     pub servers: Vec<Server>,
     api: Pool,
     /// Metrics of the daemons.
@@ -46,12 +46,12 @@
 /// Returns a loopback address that no other site uses.
 pub fn fresh_base() -> String {
     let pid = std::process::id();
-    let n = SITES.fetch_add(1, Ordering::Relaxed);
+    let n = NEXT_SITE.fetch_add(1, Ordering::Relaxed);
     format!("127.{}.{}.{}", 1 + pid / 250 % 250, 1 + pid % 250, 1 + n % 250)
 }
 
 impl Rig {
-    /// Starts control with one replica and a daemon on each of `domains`' hosts.
+    /// Starts control with one replica, and one daemon in each of the failure domains.
     pub async fn start(domains: &[&str], daemon_lines: &str) -> Result<Rig, String> {
         let base = fresh_base();
         let folder = tempfile::tempdir().map_err(|e| e.to_string())?;
@@ -81,7 +81,7 @@
             port + 1
         );
         let settings = settings::read(&text).map_err(|e| e.to_string())?;
-        let daemon = settings.daemon.clone().ok_or("no daemon")?;
+        let daemon = settings.daemon.clone().ok_or("the settings have no section daemon")?;
         let metrics = cherrystream_daemon::metrics::Metrics::default();
         let cx = daemon_role::Context {
             phases: Phases::default(),
@@ -98,7 +98,7 @@
         Ok(())
     }
 
-    /// Adds a backend server on a daemon's host, and tells control of it.
+    /// Starts a backend server on a daemon's host, and registers it with control.
     pub async fn add_server(
         &mut self,
         service: &str,
@@ -123,7 +123,7 @@
         Ok(())
     }
 
-    /// States an intent and confirms its plan.
+    /// Submits an intent and confirms its plan; retries until control accepts it.
     pub async fn accept(&self, intent: Intent) -> Result<(), String> {
         let start = Instant::now();
         loop {
@@ -147,19 +147,19 @@
         post(&self.api, path, text).await
     }
 
-    /// Waits until every daemon holds what control has accepted.
+    /// Waits until every daemon has received the newest revision.
     pub async fn settle(&self) -> Result<(), String> {
         let start = Instant::now();
         while start.elapsed() < START_TIMEOUT {
             let newest = self._control.handle().state.read().revision();
             if self.daemons.iter().all(|d| d.held().revision() >= newest) {
-                // The tables are made anew right after.
+                // The daemons rebuild their tables right after they receive it.
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 return Ok(());
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        Err("the daemons do not hold the configuration in time".into())
+        Err("the daemons did not receive the configuration within 30 s".into())
     }
 }
 
@@ -169,13 +169,13 @@
         .header(header::HOST, api.address())
         .body(body::full(text))
         .map_err(|e| e.to_string())?;
-    let connection = api.connection().await.map_err(|_| "control does not answer")?;
-    let res = api.send(connection, req).await.map_err(|_| "control does not answer")?;
+    let connection = api.connection().await.map_err(|_| "the control API does not answer")?;
+    let res = api.send(connection, req).await.map_err(|_| "the control API does not answer")?;
     match body::read_start(res.into_body(), 1 << 20).await {
         Ok(Start::Whole(bytes)) => {
             serde_json::from_slice(&bytes).map_err(|_| String::from_utf8_lossy(&bytes).into_owned())
         }
-        _ => Err("control does not answer".into()),
+        _ => Err("the control API does not answer".into()),
     }
 }
 
@@ -186,7 +186,7 @@
          replicas: [{{replica: 1, rpc_address: {base}:7201}}]\n"
     );
     let settings: Settings = settings::read(&text).map_err(|e| e.to_string())?;
-    let control = settings.control.ok_or("no control")?;
+    let control = settings.control.ok_or("the settings have no section control")?;
     let cx = control_role::Context {
         phases: Phases::default(),
         key: None,
--- a/crates/cherrystream-bench/src/scenarios.rs
+++ b/crates/cherrystream-bench/src/scenarios.rs
@@ -1,4 +1,4 @@
-//! Choices under load and faults: each variant beside the others, in the same run.
+//! Compares variants of the settings under load and faults, side by side in one run.
 
 use crate::plot::{self, Series};
 use crate::rig::Rig;
@@ -17,19 +17,19 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "scenarios")]
 pub struct Args {
-    /// prairie-hearth or hotel-linen
+    /// load profile: prairie-hearth or hotel-linen
     #[argh(option, default = "String::from(\"prairie-hearth\")")]
     users: String,
     /// variants to compare: NAME=SETTING:VALUE, more than one setting joined by '+'
     #[argh(option)]
     variant: Vec<String>,
-    /// scenarios to run; all when none is named
+    /// scenarios to run; all by default
     #[argh(option)]
     scenario: Vec<String>,
-    /// repeats of each
+    /// repeats of each scenario
     #[argh(option, default = "3")]
     repeats: usize,
-    /// seconds of each run
+    /// duration of each run in seconds
     #[argh(option, default = "4.0")]
     seconds: f64,
     /// SVG file for a plot of the p99 by scenario
@@ -37,13 +37,14 @@
     plot: Option<String>,
 }
 
-/// A scenario: a load, and a fault in the middle of it.
+/// A load with an optional fault that starts during the run.
 struct Scenario {
     name: &'static str,
-    /// Load as a share of all slots.
+    /// Load as a share of the capacity of all slots.
     load: f64,
     fault: Option<Faults>,
-    /// Backend servers with the fault: the first of each service, or all of the first host.
+    /// Whether the fault affects all backend servers of the first host, or only that of the first
+    /// service.
     whole_host: bool,
 }
 
@@ -70,7 +71,7 @@
     ]
 }
 
-/// What tells one user's site from the other's.
+/// Services and load profile of a site.
 struct Users {
     services: [&'static str; 4],
     slots: usize,
@@ -92,11 +93,11 @@
             work: Duration::from_millis(20),
             profile: profile::hotel_linen(),
         }),
-        other => Err(format!("there are no users '{other}'; use prairie-hearth or hotel-linen")),
+        other => Err(format!("unknown users '{other}'; use prairie-hearth or hotel-linen")),
     }
 }
 
-/// A site of one variant.
+/// A running site with a variant of the settings.
 struct Variant {
     name: String,
     rig: Rig,
@@ -106,11 +107,11 @@
 pub async fn run(args: &Args) -> Result<(), String> {
     let users = users(&args.users)?;
     let mut variants = Vec::new();
-    let named = match args.variant.is_empty() {
+    let variant_texts = match args.variant.is_empty() {
         true => vec!["default=".to_string()],
         false => args.variant.clone(),
     };
-    for text in &named {
+    for text in &variant_texts {
         variants.push(start_variant(text, &users).await?);
     }
     let mut series: Vec<Series> =
@@ -123,9 +124,9 @@
         "{:<14} {:<16} {:>22} {:>9} {:>9} {:>9} {:>8} {:>9}",
         "scenario", "variant", "p99 ms", "p99.9 ms", "p50 ms", "served", "unknown", "measuring"
     );
-    let chosen =
+    let is_selected =
         |s: &Scenario| args.scenario.is_empty() || args.scenario.iter().any(|n| n == s.name);
-    for (x, scenario) in scenarios().iter().filter(|s| chosen(s)).enumerate() {
+    for (x, scenario) in scenarios().iter().filter(|s| is_selected(s)).enumerate() {
         let mut results = vec![Vec::new(); variants.len()];
         for repeat in 0..args.repeats {
             for (i, variant) in variants.iter().enumerate() {
@@ -144,7 +145,8 @@
 }
 
 async fn start_variant(text: &str, users: &Users) -> Result<Variant, String> {
-    let (name, settings) = text.split_once('=').ok_or("write a variant as NAME=SETTING:VALUE")?;
+    let (name, settings) =
+        text.split_once('=').ok_or("a variant lacks '='; write it as NAME=SETTING:VALUE")?;
     let lines: String = settings
         .split('+')
         .filter_map(|s| s.split_once(':'))
@@ -212,12 +214,12 @@
     };
     let (report, ()) = tokio::join!(load::run(&opts, &users.profile), fault);
     set_faults(rig, scenario, Some(&Faults::default()));
-    // The next run begins on a site that has recovered.
+    // Lets the site recover before the next run.
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     Outcome { report, measured: measured(rig) - before }
 }
 
-/// The busiest service sets the rate that fills the slots.
+/// Returns the request rate at which the busiest service has the given load.
 fn rate(users: &Users, load: f64) -> f64 {
     let total: f64 = users.profile.kinds.iter().map(|k| k.share).sum();
     let top = users.profile.kinds.iter().map(|k| k.share).fold(0.0, f64::max);
@@ -228,7 +230,7 @@
 fn set_faults(rig: &Rig, scenario: &Scenario, faults: Option<&Faults>) {
     let Some(faults) = faults else { return };
     for (i, server) in rig.servers.iter().enumerate() {
-        // Servers were added host by host for each service, so every third is on the first host.
+        // Servers are added for each of three hosts in turn, so every third is on the first host.
         let on_first_host = i % 3 == 0;
         let of_first_service = i < 3;
         if on_first_host && (scenario.whole_host || of_first_service) {
@@ -256,7 +258,7 @@
         })
     });
     let measured = each(&|o| o.measured as f64);
-    let (low, high) = stats::spread(&p99);
+    let (low, high) = stats::range(&p99);
     println!(
         "{:<14} {:<16} {:>8.2} ({:.1} to {:.1}) {:>9.2} {:>9.2} {:>9.4} {:>8} {:>9}",
         scenario.name,
@@ -277,7 +279,7 @@
     stats::median(&p99)
 }
 
-/// Returns the requests of a run that were not answered well, by reason.
+/// Returns the counts of failed requests by reason.
 fn failures(line: &Line) -> BTreeMap<String, u64> {
     let mut failures = line.reasons.clone();
     if let Some(errors) = line.outcomes.get("error") {
--- a/crates/cherrystream-bench/src/slopes.rs
+++ b/crates/cherrystream-bench/src/slopes.rs
@@ -1,9 +1,9 @@
-//! Slopes for the capacity page: what control and daemons cost by the number of daemons, of
-//! backend servers, of claims, of peers and of routes.
+//! Resource use of control and daemons as a function of the number of daemons, backend servers,
+//! claims, peers and routes.
 
 use crate::claims;
 use crate::group::Group;
-use crate::light::{self, Light};
+use crate::light::{self, LightDaemons};
 use crate::rig;
 use crate::spread;
 use crate::stats;
@@ -20,67 +20,68 @@
 use prometheus_client::metrics::counter::Counter;
 use std::time::{Duration, Instant};
 
-/// Longest time for one call.
+/// Timeout of one call.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Routes that a change adds.
-const ROUTES: [u64; 3] = [14, 1_400, 14_000];
+/// Default numbers of routes that a change adds.
+const DEFAULT_ROUTES: [u64; 3] = [14, 1_400, 14_000];
 
 /// Measure slopes for docs/CAPACITY.md.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "slopes")]
 pub struct Args {
-    /// what to measure: daemons, claims, memory, peers, transfers or spread
+    /// measurement to run: daemons, claims, memory, peers, transfers or spread
     #[argh(positional)]
     what: String,
     /// sizes to measure at
     #[argh(option)]
     size: Vec<u64>,
-    /// seconds of each measurement
+    /// duration of each measurement in seconds
     #[argh(option, default = "8.0")]
     seconds: f64,
-    /// seconds within which a change is to be in force, for spread
+    /// for spread: seconds within which a change must be applied everywhere
     #[argh(option, default = "18.0")]
     within: f64,
-    /// for spread: all daemons start with nothing
+    /// for spread: all daemons start without a configuration
     #[argh(switch)]
     from_nothing: bool,
-    /// for spread: share of the hosts' links that requests leave
+    /// for spread: share of the hosts' link rates that is available for updates
     #[argh(option, default = "1.0")]
     link_share: f64,
 }
 
-/// Runs a measurement.
+/// Runs the selected measurement.
 pub async fn run(args: &Args) -> Result<(), String> {
     match args.what.as_str() {
         "daemons" => daemons(args).await,
-        "claims" => claims::run(&sizes(args, &claims::RATES), args.seconds).await,
+        "claims" => claims::run(&sizes(args, &claims::DEFAULT_RATES), args.seconds).await,
         "memory" => memory(args).await,
         "peers" => peers(args).await,
-        "transfers" => transfers::run(&sizes(args, &ROUTES)),
+        "transfers" => transfers::run(&sizes(args, &DEFAULT_ROUTES)),
         "spread" => {
             let plan = spread::Plan {
                 within: Duration::from_secs_f64(args.within),
                 from_nothing: args.from_nothing,
                 share: args.link_share,
             };
-            spread::run(&sizes(args, &ROUTES), plan)
+            spread::run(&sizes(args, &DEFAULT_ROUTES), plan)
         }
         other => Err(format!(
-            "there is no measurement '{other}'; use daemons, claims, memory, peers, transfers or spread"
+            "unknown measurement '{other}'; use daemons, claims, memory, peers, transfers or spread"
         )),
     }
 }
 
-fn sizes(args: &Args, usual: &[u64]) -> Vec<u64> {
-    if args.size.is_empty() { usual.to_vec() } else { args.size.clone() }
+fn sizes(args: &Args, defaults: &[u64]) -> Vec<u64> {
+    if args.size.is_empty() { defaults.to_vec() } else { args.size.clone() }
 }
 
 fn service(name: &str) -> Intent {
     Intent::PutService { service: name.into(), measuring_per_second: 5 }
 }
 
-/// What control costs by the number of daemons, and how fast a change reaches them.
+/// Measures control's resource use by the number of daemons, and the time until a change reaches
+/// all of them.
 async fn daemons(args: &Args) -> Result<(), String> {
     let sizes = sizes(args, &[100, 400, 790]);
     println!(
@@ -98,8 +99,8 @@
         let group = Group::start(3).await?;
         let leader = group.leader().await?;
         let joined = Instant::now();
-        let light = Light::start(&group.base, size);
-        wait_for(|| settled(&light, size)).await?;
+        let light = LightDaemons::start(&group.base, size);
+        wait_for(|| all_joined(&light, size)).await?;
         let join = joined.elapsed().as_secs_f64();
         tokio::time::sleep(Duration::from_secs(2)).await;
         let (before, bytes, at) = (group.costs(), light.bytes(), Instant::now());
@@ -125,18 +126,18 @@
         ("leader MB", memory_points),
     ] {
         let line = stats::fit(&points);
-        println!("{name}: {:.3} + {:.5} for each daemon", line.base, line.slope);
+        println!("{name}: {:.3} + {:.5} for each daemon", line.intercept, line.slope);
     }
     Ok(())
 }
 
-/// All have joined when every daemon knows the last registration.
-fn settled(light: &Light, size: u64) -> bool {
-    // The first entries found the group and make the probe's service.
+/// Returns whether every daemon has received the registration of all daemons.
+fn all_joined(light: &LightDaemons, size: u64) -> bool {
+    // The first four entries bootstrap the group and create the probe service.
     light.lowest() >= size + 4
 }
 
-async fn change_times(group: &Group, light: &Light) -> Result<Vec<f64>, String> {
+async fn change_times(group: &Group, light: &LightDaemons) -> Result<Vec<f64>, String> {
     let mut times = Vec::new();
     for n in 0..5 {
         let before = light.lowest();
@@ -152,14 +153,18 @@
     let start = Instant::now();
     while !done() {
         if start.elapsed() > Duration::from_secs(60) {
-            return Err("not done within a minute".into());
+            return Err(
+                "the expected state was not reached within 60 s; measure fewer daemons at once"
+                    .into(),
+            );
         }
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     Ok(())
 }
 
-/// What a daemon costs for control by the number of backend servers in the configuration.
+/// Measures a daemon's memory and processor time by the number of backend servers in the
+/// configuration.
 async fn memory(args: &Args) -> Result<(), String> {
     let sizes = sizes(args, &[100, 400, 790]);
     println!(
@@ -169,9 +174,9 @@
     let (mut memory_points, mut cpu_points) = (vec![], vec![]);
     for size in sizes {
         let group = Group::start(3).await?;
-        let light = Light::start(&group.base, size);
-        wait_for(|| settled(&light, size)).await?;
-        fill(&group, size).await?;
+        let light = LightDaemons::start(&group.base, size);
+        wait_for(|| all_joined(&light, size)).await?;
+        register_backend_servers(&group, size).await?;
         let daemon = group.start_daemon("watched", 0, 2)?;
         tokio::time::sleep(Duration::from_secs(3)).await;
         let (before, at) = (daemon.cost(), Instant::now());
@@ -179,20 +184,20 @@
         let after = daemon.cost();
         let cpu = (after.cpu - before.cpu) / at.elapsed().as_secs_f64() * 100.0;
         let megabytes = after.memory as f64 / 1e6;
-        let bytes = full_bytes(&group).await?;
+        let bytes = first_update_bytes(&group).await?;
         println!("{size:>16} {megabytes:>12.1} {cpu:>12.2} {bytes:>14}");
         memory_points.push((size as f64, megabytes));
         cpu_points.push((size as f64, cpu));
     }
     for (name, points) in [("daemon MB", memory_points), ("daemon cpu%", cpu_points)] {
         let line = stats::fit(&points);
-        println!("{name}: {:.2} + {:.5} for each backend server", line.base, line.slope);
+        println!("{name}: {:.2} + {:.5} for each backend server", line.intercept, line.slope);
     }
     Ok(())
 }
 
-/// Six backend servers to a service, as at the size to design for.
-async fn fill(group: &Group, size: u64) -> Result<(), String> {
+/// Registers backend servers, six for each service.
+async fn register_backend_servers(group: &Group, size: u64) -> Result<(), String> {
     for i in 0..size {
         let name = format!("service-{}", i / 6);
         if i % 6 == 0 {
@@ -210,8 +215,9 @@
     Ok(())
 }
 
-/// Returns the bytes of the state that a daemon without any gets: encoded, or as plain JSON where it is short.
-async fn full_bytes(group: &Group) -> Result<u64, String> {
+/// Returns the size in bytes of the first update that a daemon receives: encoded, or as plain JSON
+/// if it is short.
+async fn first_update_bytes(group: &Group) -> Result<u64, String> {
     let address = format!("{}:7201", group.base);
     let client = rpc::connect(&address, None, TIMEOUT).await.map_err(|e| e.to_string())?;
     let held = Revision::default();
@@ -233,7 +239,7 @@
     }
 }
 
-/// What a daemon's connections to peers cost: light peers refuse each call as not run.
+/// Measures the memory of a daemon's connections to peers. The peers refuse each call as not run.
 async fn peers(args: &Args) -> Result<(), String> {
     let sizes = sizes(args, &[50, 200, 400]);
     println!("{:>8} {:>12} {:>12}", "peers", "before MB", "after MB");
@@ -269,7 +275,7 @@
         points.push((size as f64, after - before));
     }
     let line = stats::fit(&points);
-    println!("daemon MB: {:.2} + {:.4} for each peer connected", line.base, line.slope);
+    println!("daemon MB: {:.2} + {:.4} for each peer connected", line.intercept, line.slope);
     Ok(())
 }
 
--- a/crates/cherrystream-bench/src/spread/after.rs
+++ b/crates/cherrystream-bench/src/spread/after.rs
@@ -1,10 +1,10 @@
-//! The way since long updates are encoded and fetched in chunks.
+//! Distribution of encoded updates that daemons fetch in chunks from control and from peers.
 
 mod host;
 mod replica;
 
 use super::network::{Message, Network, Node};
-use super::{GIVE_UP, Outcome, Site};
+use super::{Outcome, Site, TIME_LIMIT};
 use cherrystream_core::state::ControlState;
 use cherrystream_core::units::Timestamp;
 use cherrystream_schema::messages::{ChunkReply, ChunkRequest, Revision, SyncReply, SyncRequest};
@@ -19,27 +19,27 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-/// When the change comes.
-const START: Timestamp = Timestamp::from_millis(10_000);
+/// Time of the change.
+const CHANGE_TIME: Timestamp = Timestamp::from_millis(10_000);
 /// Time that a heartbeat waits for a change, as in the daemon.
-const WAIT: Duration = Duration::from_millis(400);
-/// Longest time for one call or chunk, as in the daemon.
-const CALL: Duration = Duration::from_millis(1_200);
-/// Seed for the order of the heartbeats and how long they have waited.
+const HEARTBEAT_WAIT: Duration = Duration::from_millis(400);
+/// Timeout of a call or of a chunk request, as in the daemon.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Seed of the order of the heartbeats and of the times that they have waited.
 const SEED: u64 = 1;
 
-/// What a message says. Calls and chunks have numbers, by which an answer that came too late is told.
+/// Content of a message. The numbers of calls and fetches identify replies that arrive too late.
 #[derive(Debug)]
 enum Body {
     Sync { call: u64, req: Box<SyncRequest> },
     SyncReply { call: u64, reply: Box<SyncReply> },
-    Ask { ask: u64, req: Box<ChunkRequest> },
-    Chunk { ask: u64, data: Option<Vec<u8>> },
+    Fetch { fetch: u64, req: Box<ChunkRequest> },
+    FetchReply { fetch: u64, data: Option<Vec<u8>> },
 }
 
-/// A heartbeat that waits at a replica.
+/// A heartbeat waiting at a replica.
 #[derive(Debug)]
-struct Waiting {
+struct PendingHeartbeat {
     replica: usize,
     from: Node,
     call: u64,
@@ -47,24 +47,24 @@
     until: Timestamp,
 }
 
-/// What happens at a time.
+/// An event of the simulation.
 #[derive(Debug)]
 enum Event {
-    Leaves(Message<Body>),
-    Arrives(Message<Body>),
-    Look(Waiting),
-    /// A host may ask for its next chunk.
-    Next(usize),
-    CallLate {
+    Departure(Message<Body>),
+    Arrival(Message<Body>),
+    Poll(PendingHeartbeat),
+    /// A host may request its next chunk.
+    FetchNext(usize),
+    CallTimeout {
         host: usize,
         call: u64,
     },
-    ChunkLate {
+    FetchTimeout {
         host: usize,
-        ask: u64,
+        fetch: u64,
     },
-    /// A host begins a heartbeat anew.
-    Beat {
+    /// A host sends a new heartbeat.
+    Heartbeat {
         host: usize,
         call: u64,
     },
@@ -72,19 +72,25 @@
 
 /// Emulates a change at replicas whose state is `state`, for daemons that hold `held`.
 pub fn emulate(site: &Site, state: ControlState, held: Revision, within: Duration) -> Outcome {
-    let mut run = Run::new(site, state, held, within);
-    run.begin();
-    while let Some((now, event)) = run.events.pop() {
-        if now.since(START) > GIVE_UP || run.in_force.len() == site.hosts {
+    let mut emulation = Emulation::new(site, state, held, within);
+    emulation.begin();
+    while let Some((now, event)) = emulation.events.pop() {
+        if now.since(CHANGE_TIME) > TIME_LIMIT || emulation.applied_s.len() == site.hosts {
             break;
         }
-        run.on(now, event);
+        emulation.on(now, event);
+    }
+    let (cross_domain_bytes, replica_bytes) =
+        (emulation.network.cross_domain_bytes, emulation.network.replica_bytes);
+    Outcome {
+        applied_s: emulation.applied_s,
+        cross_domain_bytes,
+        replica_bytes,
+        timeouts: emulation.timeouts,
     }
-    let (crossed, by_replicas) = (run.network.crossed, run.network.by_replicas);
-    Outcome { in_force: run.in_force, crossed, by_replicas, late: run.late }
 }
 
-/// Events in the order of their times, and of equal times in the order in which they were added.
+/// Event queue ordered by time, then by insertion.
 #[derive(Debug, Default)]
 struct Events {
     order: BinaryHeap<Reverse<(Timestamp, u64)>>,
@@ -105,27 +111,27 @@
     }
 }
 
-struct Run {
+struct Emulation {
     network: Network,
     events: Events,
     state: RwLock<ControlState>,
     target: Revision,
     replicas: Vec<Replica>,
     hosts: Vec<Host>,
-    /// Nodes by their peer addresses.
+    /// Nodes by peer address.
     nodes: BTreeMap<String, Node>,
-    in_force: Vec<f64>,
-    late: u64,
+    applied_s: Vec<f64>,
+    timeouts: u64,
 }
 
-impl Run {
-    fn new(site: &Site, state: ControlState, held: Revision, within: Duration) -> Run {
+impl Emulation {
+    fn new(site: &Site, state: ControlState, held: Revision, within: Duration) -> Emulation {
         let records = site.records();
         let node = |i: usize| site.replicas + i;
         let nodes = records.iter().enumerate().map(|(i, r)| (r.peer_address.clone(), node(i)));
         let nodes = nodes.collect();
         let host = |(i, record)| Host::new(record, site.replica(i), held, within);
-        Run {
+        Emulation {
             network: Network::new(site),
             events: Events::default(),
             target: state.revision(),
@@ -133,53 +139,54 @@
             replicas: (0..site.replicas).map(Replica::new).collect(),
             hosts: records.into_iter().enumerate().map(host).collect(),
             nodes,
-            in_force: Vec::new(),
-            late: 0,
+            applied_s: Vec::new(),
+            timeouts: 0,
         }
     }
 
-    /// Every host has a heartbeat open when the change comes.
+    /// Opens a heartbeat of every host before the change comes.
     fn begin(&mut self) {
         let mut rng = StdRng::seed_from_u64(SEED);
         let mut order: Vec<usize> = (0..self.hosts.len()).collect();
         order.shuffle(&mut rng);
         for host in order {
-            let waited = WAIT.mul_f64(rng.random_range(0.0..1.0));
+            let waited = HEARTBEAT_WAIT.mul_f64(rng.random_range(0.0..1.0));
             let (call, req) = self.hosts[host].heartbeat();
             let (replica, from) = (self.hosts[host].replica, self.node(host));
-            let heard = START.earlier(waited).unwrap_or_default();
-            self.replicas[replica].reach.hear(heard, &req);
-            self.events.add(heard + CALL, Event::CallLate { host, call });
-            let waiting = Waiting { replica, from, call, req, until: heard + WAIT };
-            self.events.add(START, Event::Look(waiting));
+            let received = CHANGE_TIME.earlier(waited).unwrap_or_default();
+            self.replicas[replica].reach.hear(received, &req);
+            self.events.add(received + CALL_TIMEOUT, Event::CallTimeout { host, call });
+            let pending =
+                PendingHeartbeat { replica, from, call, req, until: received + HEARTBEAT_WAIT };
+            self.events.add(CHANGE_TIME, Event::Poll(pending));
         }
     }
 
     fn on(&mut self, now: Timestamp, event: Event) {
         match event {
-            Event::Leaves(message) => {
-                let at = self.network.pass(now, &message);
-                self.events.add(at, Event::Arrives(message));
+            Event::Departure(message) => {
+                let at = self.network.transmit(now, &message);
+                self.events.add(at, Event::Arrival(message));
             }
-            Event::Arrives(message) => self.on_message(now, message),
-            Event::Look(waiting) => self.look(now, waiting),
-            Event::Next(host) => self.ask(now, host),
-            Event::CallLate { host, call } => {
+            Event::Arrival(message) => self.on_message(now, message),
+            Event::Poll(pending) => self.poll(now, pending),
+            Event::FetchNext(host) => self.fetch(now, host),
+            Event::CallTimeout { host, call } => {
                 if self.hosts[host].call == call {
-                    self.late += 1;
+                    self.timeouts += 1;
                     let call = self.hosts[host].abandon_call();
-                    self.events.add(now + host::PAUSE_AFTER_CALL, Event::Beat { host, call });
+                    self.events.add(now + host::PAUSE_AFTER_CALL, Event::Heartbeat { host, call });
                 }
             }
-            Event::Beat { host, call } => {
+            Event::Heartbeat { host, call } => {
                 if self.hosts[host].call == call {
-                    self.beat(now, host);
+                    self.send_heartbeat(now, host);
                 }
             }
-            Event::ChunkLate { host, ask } => {
-                if self.hosts[host].ask == ask {
-                    self.late += 1;
-                    self.on_no_chunk(now, host);
+            Event::FetchTimeout { host, fetch } => {
+                if self.hosts[host].fetch == fetch {
+                    self.timeouts += 1;
+                    self.on_fetch_failure(now, host);
                 }
             }
         }
@@ -190,39 +197,39 @@
         match body {
             Body::Sync { call, req } => {
                 self.replicas[to].reach.hear(now, &req);
-                let until = now + WAIT;
+                let until = now + HEARTBEAT_WAIT;
                 let known = req.fetching.as_ref().map_or(req.held, |f| f.id.to.max(req.held));
-                // No change comes any more that would end the wait.
+                // No later change will end the wait.
                 let at = if self.target > known { now } else { until };
-                let waiting = Waiting { replica: to, from, call, req, until };
-                self.events.add(at, Event::Look(waiting));
+                let pending = PendingHeartbeat { replica: to, from, call, req, until };
+                self.events.add(at, Event::Poll(pending));
             }
-            Body::Ask { ask, req } => {
+            Body::Fetch { fetch, req } => {
                 let reply = match self.host(to) {
                     Some(host) => self.hosts[host].serve(&req),
                     None => self.replicas[to].chunk(now, &req),
                 };
                 let data = reply.data;
-                let message = Message::new(to, from, reply.text, Body::Chunk { ask, data });
+                let message = Message::new(to, from, reply.text, Body::FetchReply { fetch, data });
                 self.send(now, message.with_state());
             }
             Body::SyncReply { call, reply } => self.on_reply(now, to, call, *reply),
-            Body::Chunk { ask, data } => self.on_chunk(now, to, ask, data),
+            Body::FetchReply { fetch, data } => self.on_chunk(now, to, fetch, data),
         }
     }
 
-    fn look(&mut self, now: Timestamp, waiting: Waiting) {
-        let replica = &self.replicas[waiting.replica];
-        let found = replica.look(now, &self.state, &waiting.req, waiting.until);
-        match found {
+    fn poll(&mut self, now: Timestamp, pending: PendingHeartbeat) {
+        let replica = &self.replicas[pending.replica];
+        let reply = replica.poll(now, &self.state, &pending.req, pending.until);
+        match reply {
             Some(reply) => {
                 let text = text_bytes(&reply);
                 let holds_state = reply.update.is_some() || reply.offer.is_some();
-                let body = Body::SyncReply { call: waiting.call, reply: Box::new(reply) };
-                let message = Message::new(waiting.replica, waiting.from, text, body);
+                let body = Body::SyncReply { call: pending.call, reply: Box::new(reply) };
+                let message = Message::new(pending.replica, pending.from, text, body);
                 self.send(now, if holds_state { message.with_state() } else { message });
             }
-            None => self.events.add(now + replica::LOOK_AGAIN, Event::Look(waiting)),
+            None => self.events.add(now + replica::POLL_INTERVAL, Event::Poll(pending)),
         }
     }
 
@@ -231,62 +238,62 @@
         if self.hosts[host].call != call {
             return;
         }
-        let took = self.hosts[host].take_reply(now, reply);
-        self.after_taking(now, host, took);
-        self.beat(now, host);
+        let applied = self.hosts[host].take_reply(now, reply);
+        self.record_if_applied(now, host, applied);
+        self.send_heartbeat(now, host);
         if !self.hosts[host].busy {
-            self.ask(now, host);
+            self.fetch(now, host);
         }
     }
 
-    fn on_chunk(&mut self, now: Timestamp, to: Node, ask: u64, data: Option<Vec<u8>>) {
+    fn on_chunk(&mut self, now: Timestamp, to: Node, fetch: u64, data: Option<Vec<u8>>) {
         let Some(host) = self.host(to) else { return };
-        if self.hosts[host].ask != ask {
+        if self.hosts[host].fetch != fetch {
             return;
         }
-        let Some(data) = data else { return self.on_no_chunk(now, host) };
+        let Some(data) = data else { return self.on_fetch_failure(now, host) };
         let (rest, whole) = self.hosts[host].take_chunk(now, &data);
-        self.after_taking(now, host, whole);
+        self.record_if_applied(now, host, whole);
         if whole {
-            // The heartbeat that is open tells of an older revision.
-            self.beat(now, host);
+            // The open heartbeat reports an older revision; a new one replaces it.
+            self.send_heartbeat(now, host);
         }
-        self.events.add(now + rest, Event::Next(host));
+        self.events.add(now + rest, Event::FetchNext(host));
     }
 
-    fn on_no_chunk(&mut self, now: Timestamp, host: usize) {
-        let pause = self.hosts[host].on_no_chunk();
-        self.events.add(now + pause, Event::Next(host));
+    fn on_fetch_failure(&mut self, now: Timestamp, host: usize) {
+        let pause = self.hosts[host].on_fetch_failure();
+        self.events.add(now + pause, Event::FetchNext(host));
     }
 
-    fn after_taking(&mut self, now: Timestamp, host: usize, whole: bool) {
+    fn record_if_applied(&mut self, now: Timestamp, host: usize, whole: bool) {
         if whole && self.hosts[host].held >= self.target {
-            self.in_force.push(now.since(START).as_secs_f64());
+            self.applied_s.push(now.since(CHANGE_TIME).as_secs_f64());
         }
     }
 
-    fn beat(&mut self, now: Timestamp, host: usize) {
+    fn send_heartbeat(&mut self, now: Timestamp, host: usize) {
         let from = self.node(host);
         let (call, req) = self.hosts[host].heartbeat_at(now);
         let text = text_bytes(&req);
         let to = self.hosts[host].replica;
-        self.events.add(now + CALL, Event::CallLate { host, call });
+        self.events.add(now + CALL_TIMEOUT, Event::CallTimeout { host, call });
         self.send(now, Message::new(from, to, text, Body::Sync { call, req }));
     }
 
-    fn ask(&mut self, now: Timestamp, host: usize) {
+    fn fetch(&mut self, now: Timestamp, host: usize) {
         let from = self.node(host);
-        let Some((ask, req, peer)) = self.hosts[host].next_ask(now) else { return };
+        let Some((fetch, req, peer)) = self.hosts[host].next_fetch(now) else { return };
         let peer = peer.and_then(|address| self.nodes.get(&address).copied());
         let to = peer.unwrap_or(self.hosts[host].replica);
         let text = text_bytes(&req);
-        self.events.add(now + CALL, Event::ChunkLate { host, ask });
-        self.send(now, Message::new(from, to, text, Body::Ask { ask, req }));
+        self.events.add(now + CALL_TIMEOUT, Event::FetchTimeout { host, fetch });
+        self.send(now, Message::new(from, to, text, Body::Fetch { fetch, req }));
     }
 
     fn send(&mut self, now: Timestamp, message: Message<Body>) {
         let at = self.network.queue(now, &message);
-        self.events.add(at, Event::Leaves(message));
+        self.events.add(at, Event::Departure(message));
     }
 
     fn node(&self, host: usize) -> Node {
@@ -298,17 +305,17 @@
     }
 }
 
-/// A chunk, or none, with the bytes of its text.
-struct Served {
+/// A chunk, if the sender has it, and the size of the reply in bytes.
+struct ServedChunk {
     data: Option<Vec<u8>>,
     text: usize,
 }
 
-impl Served {
-    /// Returns a chunk as control sends it.
-    fn by_control(reply: &ChunkReply) -> Served {
+impl ServedChunk {
+    /// Converts a reply of control.
+    fn from_control_reply(reply: &ChunkReply) -> ServedChunk {
         let data = reply.chunk.as_ref().and_then(cherrystream_net::chunks::decode);
-        Served { data, text: text_bytes(reply) }
+        ServedChunk { data, text: text_bytes(reply) }
     }
 }
 
--- a/crates/cherrystream-bench/src/spread/after/replica.rs
+++ b/crates/cherrystream-bench/src/spread/after/replica.rs
@@ -1,6 +1,6 @@
-//! A replica as daemons see it, after `control::rpc_server`.
+//! A replica's interface to daemons, modelled on `control::rpc_server`.
 
-use super::Served;
+use super::ServedChunk;
 use cherrystream_control::distribution::{Distribution, Lacking};
 use cherrystream_control::reach::Reach;
 use cherrystream_core::state::ControlState;
@@ -9,12 +9,12 @@
 use parking_lot::RwLock;
 use std::time::Duration;
 
-/// Time between looks at whether a daemon may have now what another one is fetching, as in control.
-pub const LOOK_AGAIN: Duration = Duration::from_millis(80);
+/// Interval of checking whether an update that other daemons fetch may be offered, as in control.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(80);
 
 /// A replica.
 pub struct Replica {
-    /// The daemons that it hears.
+    /// Daemons that send heartbeats to this replica.
     pub reach: Reach,
     distribution: Distribution,
     failure_domain: String,
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Returns the answer to a heartbeat, or `None` where it is to wait a little.
-    pub fn look(
+    /// Returns the answer to a heartbeat, or `None` if it should wait and be polled again.
+    pub fn poll(
         &self,
         now: Timestamp,
         state: &RwLock<ControlState>,
@@ -45,7 +45,7 @@
             Lacking::Nothing => req.fetching.is_some(),
             Lacking::Short(_) | Lacking::Long(_) => false,
         };
-        if waits && now + LOOK_AGAIN <= until {
+        if waits && now + POLL_INTERVAL <= until {
             return None;
         }
         let (update, offer) = match lacking {
@@ -65,8 +65,8 @@
         })
     }
 
-    /// Returns the chunk that a daemon asks for.
-    pub fn chunk(&self, now: Timestamp, req: &ChunkRequest) -> Served {
-        Served::by_control(&self.distribution.chunk(now, req))
+    /// Returns the chunk that a daemon requests.
+    pub fn chunk(&self, now: Timestamp, req: &ChunkRequest) -> ServedChunk {
+        ServedChunk::from_control_reply(&self.distribution.chunk(now, req))
     }
 }
--- a/crates/cherrystream-bench/src/spread/mod.rs
+++ b/crates/cherrystream-bench/src/spread/mod.rs
@@ -1,23 +1,24 @@
-//! How long a change takes to be in force at all hosts, emulated.
+//! Emulates how long a change takes to be applied at all hosts.
 //!
-//! No sockets and no clock: events in the order of their times, over modelled links. What decides is the system's
-//! own code: `control::distribution` (with core's `FetchScheduler`, `UpdateCache` and `EncodedUpdate`) at the replicas, core's
-//! `Download` and `PieceSize` at the hosts. The loops around them (a daemon's heartbeat and its downloads, a replica's
-//! wait) are written again here after `daemon::sync` and `control::rpc_server`.
+//! A discrete-event simulation without sockets and clock, over modelled links. Decisions are made
+//! by production code: `control::distribution` (with core's `FetchScheduler`, `UpdateCache` and
+//! `EncodedUpdate`) at the replicas, core's `Download` and `PieceSize` at the hosts. The loops
+//! around them (a daemon's heartbeat and downloads, a replica's wait) are reimplemented here after
+//! `daemon::sync` and `control::rpc_server`.
 //!
 //! Assumptions:
-//! - All daemons are at the same revision, each with an open heartbeat, when every replica applies the change at
-//!   once; the way of the change between replicas is left out.
-//! - Links carry nothing else, or requests leave a given share of the hosts' links; no other change comes. A link
-//!   has its rate each way; a message, with 100 bytes of framing, occupies its sender's and its receiver's link one
-//!   after another with others, and passes on as it comes.
+//! - All daemons are at the same revision, each with an open heartbeat, when all replicas apply the
+//!   change at the same time. Replication between replicas is left out.
+//! - Links carry nothing else, or a given share of the hosts' link rates is available. No other
+//!   change comes. Links are full duplex. A message, with 100 bytes of framing, occupies its
+//!   sender's and its receiver's link exclusively, and is forwarded while it is received.
 //! - Half of the hosts have 2.7 Mbit/s and half 3.8, or all have 1,000. Replicas have 1,000.
-//! - A way takes 1 ms within a failure domain and 5 ms between two; nothing is lost.
-//! - Hosts and replicas spend no processor time; `slopes transfers` shows what an update costs there.
-//! - Daemons in a failure domain with a replica keep to it; the others spread over all replicas. One whose heartbeat
-//!   is not answered in time asks the same replica again.
+//! - Latency is 1 ms within a failure domain and 5 ms between two. No message is lost.
+//! - Hosts and replicas spend no processor time; `slopes transfers` measures that.
+//! - Daemons in a failure domain with a replica use that replica; the others are distributed over
+//!   all replicas. A daemon whose heartbeat times out retries at the same replica.
 //!
-//! The old way, for the same change, is [`before`].
+//! [`before`] emulates the same change without chunks, [`after`] with them.
 
 mod after;
 mod before;
@@ -28,25 +29,25 @@
 use cherrystream_schema::messages::HostRecord;
 use std::time::Duration;
 
-/// Time after which a change that is not in force counts as never in force.
-const GIVE_UP: Duration = Duration::from_secs(60);
-/// Rates of hosts in Mbit/s, in turn.
-const THIN_MBITS: [f64; 2] = [2.7, 3.8];
-/// As `THIN_MBITS`, where hosts have links as replicas do.
-const WIDE_MBITS: [f64; 1] = [1_000.0];
+/// Time after which a change counts as never applied.
+const TIME_LIMIT: Duration = Duration::from_secs(60);
+/// Rates of slow host links in Mbit/s, assigned in turn.
+const SLOW_MBITS: [f64; 2] = [2.7, 3.8];
+/// Rates of host links as fast as those of replicas, in Mbit/s.
+const FAST_MBITS: [f64; 1] = [1_000.0];
 
-/// Hosts, failure domains and replicas.
+/// A site to emulate.
 #[derive(Clone, Copy, Debug)]
 pub struct Site {
-    /// Hosts with a daemon.
+    /// Number of hosts, each with a daemon.
     pub hosts: usize,
-    /// Failure domains, over which the hosts spread evenly.
+    /// Number of failure domains; hosts are distributed evenly over them.
     pub domains: usize,
-    /// Replicas, one in each of the first failure domains.
+    /// Number of replicas, one in each of the first failure domains.
     pub replicas: usize,
-    /// Rates of the hosts' links in Mbit/s, in turn.
+    /// Rates of the hosts' links in Mbit/s, assigned in turn.
     pub mbits: &'static [f64],
-    /// Share of the hosts' links that requests leave.
+    /// Share of the hosts' link rates that is available for updates.
     pub share: f64,
 }
 
@@ -60,54 +61,55 @@
         host % self.domains
     }
 
-    /// Returns the replica that a host keeps to.
+    /// Returns the replica that a host's daemon uses.
     fn replica(&self, host: usize) -> usize {
         let domain = self.domain(host);
         if domain < self.replicas { domain } else { (host / self.domains) % self.replicas }
     }
 
-    /// Returns the rate of a host's link in bytes a second.
+    /// Returns the rate of a host's link in bytes per second.
     fn rate(&self, host: usize) -> f64 {
-        // Hosts of each failure domain have both rates.
+        // Each failure domain has hosts of every rate.
         self.mbits[(host / self.domains) % self.mbits.len()] * 1e6 / 8.0 * self.share
     }
 }
 
-/// What became of a change.
+/// Result of one emulation.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Seconds until it was in force, for each host where it was.
-    pub in_force: Vec<f64>,
-    /// Bytes of the state between failure domains.
-    pub crossed: f64,
-    /// Bytes of the state that replicas sent.
-    pub by_replicas: f64,
-    /// Calls, or chunks, that were not answered in time.
-    pub late: u64,
+    /// Seconds until the change was applied, for each host that applied it.
+    pub applied_s: Vec<f64>,
+    /// Bytes of the state sent between failure domains.
+    pub cross_domain_bytes: f64,
+    /// Bytes of the state sent by replicas.
+    pub replica_bytes: f64,
+    /// Number of calls and chunk requests that timed out.
+    pub timeouts: u64,
 }
 
 impl Outcome {
-    fn shown(&self, hosts: usize) -> String {
-        let last = self.in_force.iter().copied().fold(0.0, f64::max);
-        match self.in_force.len() {
+    fn format_last(&self, hosts: usize) -> String {
+        let last = self.applied_s.iter().copied().fold(0.0, f64::max);
+        match self.applied_s.len() {
             n if n == hosts => format!("{last:.2} s"),
             n => format!("never ({n} of {hosts})"),
         }
     }
 }
 
-/// What to emulate.
+/// Parameters of the emulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Time within which a change is to be in force.
+    /// Time within which a change must be applied.
     pub within: Duration,
-    /// Whether all daemons start with nothing, in place of a change to a table of [`BASE_ROUTES`].
+    /// Whether all daemons start without a configuration; otherwise they hold a table of
+    /// [`BASE_ROUTES`].
     pub from_nothing: bool,
-    /// Share of the hosts' links that requests leave.
+    /// Share of the hosts' link rates that is available for updates.
     pub share: f64,
 }
 
-/// Emulates changes that add so many routes, or starts with tables of so many.
+/// Emulates the distribution of tables with each number of additional routes.
 pub fn run(sizes: &[u64], plan: Plan) -> Result<(), String> {
     println!(
         "{:>6} {:>8} {:>9} {:>8} {:>8} {:>22} {:>10} {:>22} {:>10} {:>12} {:>8}",
@@ -123,7 +125,7 @@
         "replicas MB",
         "late"
     );
-    for mbits in [&THIN_MBITS[..], &WIDE_MBITS[..]] {
+    for mbits in [&SLOW_MBITS[..], &FAST_MBITS[..]] {
         for (hosts, domains, replicas) in [(55, 3, 3), (81, 4, 4), (790, 4, 4), (790, 7, 3)] {
             for &size in sizes {
                 let site = Site { hosts, domains, replicas, mbits, share: plan.share };
@@ -151,12 +153,12 @@
         site.domains,
         site.replicas,
         rates.join("/"),
-        before.shown(site.hosts),
-        before.crossed / 1e6,
-        after.shown(site.hosts),
-        after.crossed / 1e6,
-        after.by_replicas / 1e6,
-        after.late
+        before.format_last(site.hosts),
+        before.cross_domain_bytes / 1e6,
+        after.format_last(site.hosts),
+        after.cross_domain_bytes / 1e6,
+        after.replica_bytes / 1e6,
+        after.timeouts
     );
     Ok(())
 }
--- a/crates/cherrystream-bench/src/tables.rs
+++ b/crates/cherrystream-bench/src/tables.rs
@@ -1,4 +1,5 @@
-//! Shared states with route tables whose names repeat as little as those of real ones.
+//! Control states with generated route tables. Names are random, so that they compress as little as
+//! real ones.
 
 use crate::light;
 use cherrystream_core::routes;
@@ -12,18 +13,18 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Seed of all names, so that runs can be compared.
+/// Seed of all names; fixed, so that runs are comparable.
 const SEED: u64 = 27;
-/// Characters of a random name.
+/// Length of a random name in characters.
 const NAME_CHARS: usize = 8;
-/// Host names that callers ask for, shared by all routes.
-const CALLED_HOSTS: usize = 4;
-/// Services that routes lead to.
+/// Number of host names in requests that the routes match.
+const REQUEST_HOSTS: usize = 4;
+/// Number of services that routes point to.
 const SERVICES: usize = 6;
 
-/// A shared state, and how it came about.
+/// A control state with the changes that led to it.
 pub struct History {
-    /// The state of a replica that has applied all.
+    /// State of a replica that has applied every change.
     pub state: ControlState,
     changes: Vec<NumberedChange>,
     table: RouteTable,
@@ -31,23 +32,23 @@
 }
 
 impl History {
-    /// Creates a state in which daemons and their backend servers are registered.
+    /// Creates a state with registered daemons and their backend servers.
     pub fn new(records: &[HostRecord]) -> History {
         let mut history = History {
             state: ControlState::default(),
             changes: Vec::new(),
-            table: empty(),
+            table: empty_table(),
             rng: StdRng::seed_from_u64(SEED),
         };
         for (i, record) in records.iter().enumerate() {
-            history.share(Change::PutHost { record: record.clone() });
+            history.apply_change(Change::PutHost { record: record.clone() });
             let (host, instance) = (record.host.clone(), instance(i));
-            history.share(Change::PutInstance { host, instance });
+            history.apply_change(Change::PutInstance { host, instance });
         }
         history
     }
 
-    /// Accepts a table that has so many routes more.
+    /// Applies a table with `count` more routes.
     pub fn add_routes(&mut self, count: u32) {
         let old = (self.table.number > 0).then(|| self.table.clone());
         self.table.number += 1;
@@ -62,13 +63,13 @@
         self.changes.push(NumberedChange { revision: self.state.revision(), change });
     }
 
-    /// Returns every change since a revision, as a daemon got them before long updates were encoded.
+    /// Returns every change since a revision as one unencoded update.
     pub fn changes_since(&self, held: Revision) -> Update {
         let newer = self.changes.iter().filter(|c| c.revision > held).cloned();
         Update { revision: self.state.revision(), changes: newer.collect(), full: None }
     }
 
-    fn share(&mut self, change: Change) {
+    fn apply_change(&mut self, change: Change) {
         self.apply(Command::Share { change: change.clone() });
         self.changes.push(NumberedChange { revision: self.state.revision(), change });
     }
@@ -79,11 +80,11 @@
     }
 }
 
-/// Returns the registrations of daemons that spread over failure domains.
+/// Returns the registrations of daemons distributed evenly over failure domains.
 pub fn records(hosts: usize, domains: usize) -> Vec<HostRecord> {
     let record = |i: usize| HostRecord {
         failure_domain: format!("domain-{}", i % domains),
-        // Not random, so that runs can be compared.
+        // Not random, so that runs are comparable.
         incarnation: i as u64 + 1,
         ..light::record(i as u64)
     };
@@ -103,7 +104,7 @@
     }
 }
 
-fn empty() -> RouteTable {
+fn empty_table() -> RouteTable {
     let service = || RoutedService {
         connections_at_most: 100,
         health_path: "/healthz".to_string(),
@@ -129,11 +130,11 @@
 }
 
 fn random_route(rng: &mut StdRng) -> Route {
-    let called = rng.random_range(0..CALLED_HOSTS);
+    let site = rng.random_range(0..REQUEST_HOSTS);
     let service = service_name(rng.random_range(0..SERVICES));
     Route {
         attempts_at_most: 2,
-        host: format!("site-{called}.example"),
+        host: format!("site-{site}.example"),
         path_prefix: format!("/{}/", random_name(rng)),
         priority: 1,
         repeatable: true,
--- a/crates/cherrystream-bench/src/transfers.rs
+++ b/crates/cherrystream-bench/src/transfers.rs
@@ -1,8 +1,9 @@
-//! What one update for a daemon costs: as plain JSON in one answer, and encoded in chunks.
+//! Size of one update for a daemon, and the time to write and read it: as plain JSON in one
+//! answer, and encoded in chunks.
 //!
-//! For a change that adds routes to a table of [`BASE_ROUTES`], and for a daemon that starts with nothing where
-//! the table has that many routes in all. [`HOSTS`] daemons and their backend servers are registered. Counted are
-//! the JSON texts of answers; the few dozen bytes a message of JSON-RPC, WebSocket and TCP are not.
+//! Covers a change that adds routes to a table of [`BASE_ROUTES`], and a daemon that starts
+//! without a configuration. [`HOSTS`] daemons and their backend servers are registered. Sizes are
+//! those of the JSON texts of answers, without the overhead of JSON-RPC, WebSocket and TCP.
 
 use crate::stats;
 use crate::tables::{self, History};
@@ -16,18 +17,18 @@
 
 /// Routes of the table before a change.
 pub const BASE_ROUTES: u32 = 1_400;
-/// Daemons registered.
+/// Number of registered daemons.
 const HOSTS: usize = 55;
-/// Failure domains that they spread over; a matter of a few bytes.
-const DOMAINS: usize = 3;
-/// Bytes of the chunk that comes with an offer, as control sends it.
-const FIRST_CHUNK: usize = 4 * 1024;
-/// Bytes of the other chunks: those at which a link of 2.7 Mbit/s stays.
-const CHUNK: usize = 16 * 1024;
-/// Runs of which the median time is shown.
+/// Number of failure domains of the daemons.
+const FAILURE_DOMAINS: usize = 3;
+/// Size in bytes of the chunk that control sends with an offer.
+const FIRST_CHUNK_BYTES: usize = 4 * 1024;
+/// Size in bytes of the other chunks; the size that a link of 2.7 Mbit/s settles at.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Number of runs; the median time is printed.
 const RUNS: usize = 9;
 
-/// Measures at numbers of routes.
+/// Measures updates with the given numbers of routes.
 pub fn run(sizes: &[u64]) -> Result<(), String> {
     println!(
         "{:>14} {:>8} {:>12} {:>12} {:>12} {:>11} {:>11} {:>11} {:>11}",
@@ -42,14 +43,14 @@
         "decode ms"
     );
     for &size in sizes {
-        let mut history = History::new(&tables::records(HOSTS, DOMAINS));
+        let mut history = History::new(&tables::records(HOSTS, FAILURE_DOMAINS));
         history.add_routes(BASE_ROUTES);
         let held = history.state.revision();
         history.add_routes(size as u32);
         show("change", size, &history, held)?;
     }
     for &size in sizes {
-        let mut history = History::new(&tables::records(HOSTS, DOMAINS));
+        let mut history = History::new(&tables::records(HOSTS, FAILURE_DOMAINS));
         history.add_routes(size as u32);
         show("from nothing", size, &history, Revision::default())?;
     }
@@ -62,7 +63,7 @@
     let write = median_ms(|| to_text(&plain));
     let read = median_ms(|| serde_json::from_slice::<Update>(&text));
     let update = history.state.update_since(held);
-    if is_short(history.state.update_kind_since(held)) {
+    if is_inline(history.state.update_kind_since(held)) {
         let sent = to_text(&update)?.len();
         println!(
             "{what:>14} {size:>8} {:>12} {:>12} {sent:>12} {write:>11.2} {read:>11.2} {:>11} {:>11}",
@@ -80,21 +81,21 @@
         "{what:>14} {size:>8} {:>12} {:>12} {:>12} {write:>11.2} {read:>11.2} {encode:>11.2} {decode:>11.2}",
         text.len(),
         encoded.id().bytes,
-        in_chunks(&encoded)?
+        bytes_in_chunks(&encoded)?
     );
     Ok(())
 }
 
-fn is_short(step: UpdateKind) -> bool {
+fn is_inline(step: UpdateKind) -> bool {
     matches!(step, UpdateKind::Changes { weight } if weight <= MAX_INLINE_WEIGHT)
 }
 
-/// Returns the bytes of the offer and of all chunks from control, Base64 and JSON included.
-fn in_chunks(encoded: &EncodedUpdate) -> Result<usize, String> {
-    let first = encoded.chunk(0, FIRST_CHUNK).map(|data| chunks::encode(0, data));
+/// Returns the size in bytes of the offer and all chunks from control, with Base64 and JSON.
+fn bytes_in_chunks(encoded: &EncodedUpdate) -> Result<usize, String> {
+    let first = encoded.chunk(0, FIRST_CHUNK_BYTES).map(|data| chunks::encode(0, data));
     let mut bytes = to_text(&Offer { id: encoded.id(), first, peers: Vec::new() })?.len();
-    let mut offset = FIRST_CHUNK as u64;
-    while let Some(data) = encoded.chunk(offset, CHUNK) {
+    let mut offset = FIRST_CHUNK_BYTES as u64;
+    while let Some(data) = encoded.chunk(offset, CHUNK_BYTES) {
         bytes += to_text(&ChunkReply { chunk: Some(chunks::encode(offset, data)) })?.len();
         offset += data.len() as u64;
     }
