--- a/crates/cherrystream/tests/soak/keys.rs
+++ b/crates/cherrystream/tests/soak/keys.rs
@@ -1,8 +1,9 @@
-//! Keys of workspaces that are given, taken away and moved while faults strike, and what callers with keys saw.
+//! Adds, revokes and moves keys of workspaces during faults, and checks the answers to callers with
+//! keys.
 
 use crate::support::client::{self, Answer, Ask};
 use crate::support::site::Site;
-use crate::watchers::{IN_FORCE_WITHIN, Watched};
+use crate::watchers::{MAX_PROPAGATION_TIME, WatchedDaemon};
 use cherrystream_core::workspaces;
 use cherrystream_net::pool::Pool;
 use cherrystream_schema::messages::PlanReply;
@@ -16,30 +17,30 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Key of all callers that are not looked at here; it is never taken away.
-pub const RESIDENT: &str = "soak-key-of-the-residents";
-/// Keys that are given and taken away.
+/// Key of the other callers; it is never revoked.
+pub const PERMANENT_KEY: &str = "soak-key-of-the-residents";
+/// Keys that are added and revoked.
 const KEYS: [&str; 4] =
     ["soak-key-number-one", "soak-key-number-two", "soak-key-three", "soak-key-four"];
-/// Workspaces that hold them by turns.
+/// Workspaces that the keys are added to.
 const WORKSPACES: [&str; 2] = ["studio", "guild"];
-/// A key that no workspace ever holds.
-const UNKNOWN: &str = "soak-key-of-nobody";
+/// A key that is never added.
+const UNKNOWN_KEY: &str = "soak-key-of-nobody";
 /// Pause between two changes, and between two requests of a caller.
 const PAUSE: Duration = Duration::from_millis(80);
-/// Longest wait for an answer.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// Milliseconds that a request may take: none runs later than this after it was sent.
+/// Timeout of a request.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Deadline of a request in milliseconds; none starts to run later than this.
 const DEADLINE_MS: u64 = 2_000;
-/// A key that was taken away runs nothing that is sent later than this: the bound of any change.
-const BOUND: Duration = IN_FORCE_WITHIN;
+/// Time after which a revoked key must be refused everywhere.
+const MAX_DELAY: Duration = MAX_PROPAGATION_TIME;
 
-/// Has every request need a key, before any daemon starts.
-pub async fn found(site: &Site) {
+/// Makes every request require a key, before any daemon starts.
+pub async fn require_keys(site: &Site) {
     for workspace in ["residents"].iter().chain(&WORKSPACES) {
         site.accept(json!({"intent": "put-workspace", "workspace": workspace})).await;
     }
-    site.accept(add("residents", RESIDENT)).await;
+    site.accept(add("residents", PERMANENT_KEY)).await;
     site.accept(json!({"intent": "need-keys", "needed": true})).await;
 }
 
@@ -53,62 +54,75 @@
     json!({"intent": "revoke-key", "workspace": workspace, "key_digest": key_digest})
 }
 
-/// A time in which a workspace holds a key.
+/// A period in which a workspace holds a key.
 #[derive(Clone, Copy, Debug)]
-struct Term {
+struct Assignment {
     key: usize,
     workspace: &'static str,
-    /// When it was asked for, and accepted.
-    asked_at: Instant,
+    /// When the key's addition was requested.
+    requested_at: Instant,
+    /// When the addition was accepted.
     held_at: Option<Instant>,
-    /// When its end was asked for, and accepted.
-    end_asked_at: Option<Instant>,
+    /// When the key's revocation was requested.
+    end_requested_at: Option<Instant>,
+    /// When the revocation was accepted.
     ended_at: Option<Instant>,
 }
 
-/// Gives keys to workspaces and takes them away.
+/// Adds keys to workspaces and revokes them.
 pub struct Operator {
     apis: Vec<String>,
     rng: SmallRng,
-    terms: Vec<Term>,
+    assignments: Vec<Assignment>,
 }
 
 impl Operator {
     pub fn new(apis: Vec<String>, seed: u64) -> Operator {
-        Operator { apis, rng: SmallRng::seed_from_u64(seed), terms: Vec::new() }
+        Operator { apis, rng: SmallRng::seed_from_u64(seed), assignments: Vec::new() }
     }
 
-    /// Changes who holds which key, until told to stop.
+    /// Adds and revokes random keys until `stop` is set.
     pub async fn operate(mut self, stop: Arc<AtomicBool>) -> Operator {
         while !stop.load(Ordering::Relaxed) {
             let key = self.rng.random_range(0..KEYS.len());
-            self.turn(key, &stop).await;
+            self.toggle(key, &stop).await;
             tokio::time::sleep(PAUSE).await;
         }
         self
     }
 
-    /// Takes a key from the workspace that holds it, or gives it to one.
-    async fn turn(&mut self, key: usize, stop: &AtomicBool) {
-        let last = self.terms.iter().rposition(|term| term.key == key && term.ended_at.is_none());
-        let Some(term) = last else {
+    /// Revokes a key from the workspace that holds it, or adds it to one.
+    async fn toggle(&mut self, key: usize, stop: &AtomicBool) {
+        let last = self
+            .assignments
+            .iter()
+            .rposition(|assignment| assignment.key == key && assignment.ended_at.is_none());
+        let Some(assignment) = last else {
             let workspace = WORKSPACES[self.rng.random_range(0..WORKSPACES.len())];
-            let asked_at = Instant::now();
-            let (held_at, end_asked_at, ended_at) = (None, None, None);
-            self.terms.push(Term { key, workspace, asked_at, held_at, end_asked_at, ended_at });
+            let requested_at = Instant::now();
+            let (held_at, end_requested_at, ended_at) = (None, None, None);
+            self.assignments.push(Assignment {
+                key,
+                workspace,
+                requested_at,
+                held_at,
+                end_requested_at,
+                ended_at,
+            });
             let accepted = self.accept(&add(workspace, KEYS[key]), stop).await;
-            self.terms.last_mut().unwrap().held_at = accepted.then(Instant::now);
+            self.assignments.last_mut().unwrap().held_at = accepted.then(Instant::now);
             return;
         };
-        self.terms[term].end_asked_at.get_or_insert_with(Instant::now);
-        let intent = revoke(self.terms[term].workspace, KEYS[key]);
+        self.assignments[assignment].end_requested_at.get_or_insert_with(Instant::now);
+        let intent = revoke(self.assignments[assignment].workspace, KEYS[key]);
         if self.accept(&intent, stop).await {
-            self.terms[term].ended_at = Some(Instant::now());
+            self.assignments[assignment].ended_at = Some(Instant::now());
         }
     }
 
-    /// States an intent until it holds; returns whether that was told before the stop. Whether an earlier one holds may not have
-    /// been told: then the next one changes nothing, or finds nothing to take away.
+    /// Submits an intent until control accepts it; returns whether control confirmed it before the
+    /// stop. An earlier attempt may have succeeded without a confirmation: then control answers
+    /// that there is nothing to change.
     async fn accept(&mut self, intent: &Value, stop: &AtomicBool) -> bool {
         while !stop.load(Ordering::Relaxed) {
             let planned = self.ask(&Ask::post("/v1/intents", intent.to_string())).await;
@@ -132,43 +146,47 @@
 
     async fn ask(&mut self, ask: &Ask) -> Option<Answer> {
         let api = &self.apis[self.rng.random_range(0..self.apis.len())];
-        tokio::time::timeout(PATIENCE, client::send(api, ask)).await.ok()?
+        tokio::time::timeout(ANSWER_TIMEOUT, client::send(api, ask)).await.ok()?
     }
 
-    /// Takes all keys away but one, while no fault strikes; returns what is wrong with what daemons do within the bound.
-    pub async fn settle(&mut self, watched: &[Watched]) -> Vec<String> {
+    /// Revokes all keys but one after all faults have ended; returns the daemons that don't follow
+    /// within the bound.
+    pub async fn settle(&mut self, watched: &[WatchedDaemon]) -> Vec<String> {
         let stop = AtomicBool::new(false);
-        let settled_by = Instant::now() + 2 * BOUND;
+        let settled_by = Instant::now() + 2 * MAX_DELAY;
         for key in 0..KEYS.len() {
-            let is_held = |terms: &[Term]| {
-                terms.iter().any(|term| term.key == key && term.ended_at.is_none())
+            let is_held = |assignments: &[Assignment]| {
+                assignments
+                    .iter()
+                    .any(|assignment| assignment.key == key && assignment.ended_at.is_none())
             };
-            // The stop may have cut off an intent of which it is not known whether it holds: it is taken back first.
-            let is_unsure = |terms: &[Term]| {
-                terms.iter().any(|term| {
-                    let is_open = term.key == key && term.ended_at.is_none();
-                    is_open && (term.held_at.is_none() || term.end_asked_at.is_some())
+            // The stop may have interrupted an intent whose result is unknown; it is revoked first.
+            let is_uncertain = |assignments: &[Assignment]| {
+                assignments.iter().any(|assignment| {
+                    let is_open = assignment.key == key && assignment.ended_at.is_none();
+                    is_open
+                        && (assignment.held_at.is_none() || assignment.end_requested_at.is_some())
                 })
             };
-            while is_unsure(&self.terms) || is_held(&self.terms) != (key == 0) {
-                let turn = tokio::time::timeout_at(settled_by.into(), self.turn(key, &stop));
-                if turn.await.is_err() {
+            while is_uncertain(&self.assignments) || is_held(&self.assignments) != (key == 0) {
+                let toggle = tokio::time::timeout_at(settled_by.into(), self.toggle(key, &stop));
+                if toggle.await.is_err() {
                     return vec![format!(
-                        "key {key}: control confirms no intent within {:?}",
-                        2 * BOUND
+                        "key {key}: control confirmed no intent within {:?}",
+                        2 * MAX_DELAY
                     )];
                 }
             }
         }
-        let until = Instant::now() + BOUND;
-        let mut wrong = Vec::new();
+        let until = Instant::now() + MAX_DELAY;
+        let mut late_daemons = Vec::new();
         for watched in watched {
             for (key, text) in KEYS.iter().enumerate() {
                 let holds = key == 0;
                 while status(&watched.address, text).await != Some(if holds { 200 } else { 401 }) {
                     if Instant::now() > until {
-                        wrong.push(format!(
-                            "daemon {}: key {key} {holds} after {BOUND:?}",
+                        late_daemons.push(format!(
+                            "daemon {}: key {key}: accepted is not {holds} after {MAX_DELAY:?}",
                             watched.daemon
                         ));
                         break;
@@ -177,14 +195,14 @@
                 }
             }
         }
-        wrong
+        late_daemons
     }
 }
 
 async fn status(address: &str, key: &str) -> Option<u16> {
     let ask = ask("/k/settled", Some(key));
     let sending = client::send(address, &ask);
-    let answer = tokio::time::timeout(PATIENCE, sending).await.ok()??;
+    let answer = tokio::time::timeout(ANSWER_TIMEOUT, sending).await.ok()??;
     Some(answer.status.as_u16())
 }
 
@@ -198,99 +216,120 @@
     }
 }
 
-/// Which key a request bore.
+/// The key that a request presents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Bore {
+enum PresentedKey {
     Known(usize),
     Unknown,
-    Nothing,
+    Missing,
 }
 
-/// A request and what became of it.
+/// A request and its result.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct CallRecord {
     name: String,
     daemon: usize,
-    bore: Bore,
+    presented: PresentedKey,
     sent_at: Instant,
     ended_at: Instant,
     status: u16,
-    /// What a backend server told of the request, where one answered.
+    /// The backend server's description of the request, if one answered.
     work: Option<WorkAnswer>,
 }
 
-/// Sends requests with and without keys to a daemon, until told to stop.
-pub async fn call(watched: Watched, seed: u64, stop: Arc<AtomicBool>, told: Arc<Mutex<Vec<Told>>>) {
+/// Sends requests with and without keys to a daemon until `stop` is set.
+pub async fn call(
+    watched: WatchedDaemon,
+    seed: u64,
+    stop: Arc<AtomicBool>,
+    records: Arc<Mutex<Vec<CallRecord>>>,
+) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let pool = Pool::new(&watched.address, Default::default());
     for n in 0.. {
         if stop.load(Ordering::Relaxed) {
             return;
         }
-        let bore = match rng.random_range(0..6) {
-            0 => Bore::Unknown,
-            1 => Bore::Nothing,
-            _ => Bore::Known(rng.random_range(0..KEYS.len())),
+        let presented = match rng.random_range(0..6) {
+            0 => PresentedKey::Unknown,
+            1 => PresentedKey::Missing,
+            _ => PresentedKey::Known(rng.random_range(0..KEYS.len())),
         };
-        let key = match bore {
-            Bore::Known(key) => Some(KEYS[key]),
-            Bore::Unknown => Some(UNKNOWN),
-            Bore::Nothing => None,
+        let key = match presented {
+            PresentedKey::Known(key) => Some(KEYS[key]),
+            PresentedKey::Unknown => Some(UNKNOWN_KEY),
+            PresentedKey::Missing => None,
         };
         let name = format!("/k/{seed:x}/{n}");
         let sent_at = Instant::now();
         let ask = ask(&name, key);
         let answer =
-            tokio::time::timeout(PATIENCE, client::send_on(&pool, &ask)).await.ok().flatten();
+            tokio::time::timeout(ANSWER_TIMEOUT, client::send_on(&pool, &ask)).await.ok().flatten();
         let status = answer.as_ref().map_or(0, |answer| answer.status.as_u16());
         let is_work = |answer: &Answer| answer.outcome() == "answered" && answer.status == 200;
         let work = answer.filter(is_work).and_then(|a| serde_json::from_slice(&a.body).ok());
         let (daemon, ended_at) = (watched.daemon, Instant::now());
-        told.lock().push(Told { name, daemon, bore, sent_at, ended_at, status, work });
+        records.lock().push(CallRecord {
+            name,
+            daemon,
+            presented,
+            sent_at,
+            ended_at,
+            status,
+            work,
+        });
         tokio::time::sleep(PAUSE.mul_f64(rng.random_range(0.0..1.0))).await;
     }
 }
 
-/// Returns the promises about keys that were broken, by what callers and backend servers saw.
-pub fn judge(operator: &Operator, told: &[Told], runs: &HashSet<String>) -> Vec<String> {
-    let broken = told.iter().filter_map(|told| {
-        let what = fault(&operator.terms, told, runs.contains(&told.name))?;
-        Some(format!("{} ({:?}, daemon {}): {what}", told.name, told.bore, told.daemon))
+/// Returns the violated guarantees about keys, from the records of callers and backend servers.
+pub fn violations(
+    operator: &Operator,
+    records: &[CallRecord],
+    runs: &HashSet<String>,
+) -> Vec<String> {
+    let violations = records.iter().filter_map(|record| {
+        let what = violation(&operator.assignments, record, runs.contains(&record.name))?;
+        Some(format!("{} ({:?}, daemon {}): {what}", record.name, record.presented, record.daemon))
     });
-    broken.collect()
+    violations.collect()
 }
 
-fn fault(terms: &[Term], told: &Told, ran: bool) -> Option<String> {
-    let Bore::Known(key) = told.bore else {
+fn violation(assignments: &[Assignment], record: &CallRecord, ran: bool) -> Option<String> {
+    let PresentedKey::Known(key) = record.presented else {
         return ran.then(|| "ran without the key of a workspace".into());
     };
-    // Terms that a daemon may go by when it gets the request: none has ended for longer than the bound.
-    let of_key: Vec<&Term> = terms.iter().filter(|term| term.key == key).collect();
-    let may_hold = |term: &&&Term| {
-        term.asked_at <= told.ended_at && term.ended_at.is_none_or(|at| at + BOUND >= told.sent_at)
+    // Assignments that a daemon may still apply: none ended longer than the bound before the
+    // request.
+    let of_key: Vec<&Assignment> =
+        assignments.iter().filter(|assignment| assignment.key == key).collect();
+    let may_hold = |assignment: &&&Assignment| {
+        assignment.requested_at <= record.ended_at
+            && assignment.ended_at.is_none_or(|at| at + MAX_DELAY >= record.sent_at)
     };
-    let holders: Vec<&str> = of_key.iter().filter(may_hold).map(|term| term.workspace).collect();
+    let holders: Vec<&str> =
+        of_key.iter().filter(may_hold).map(|assignment| assignment.workspace).collect();
     if ran && holders.is_empty() {
         return Some(format!("ran under a key that no workspace holds: {of_key:?}"));
     }
-    let work = told.work.as_ref();
+    let work = record.work.as_ref();
     let name = work.map(|work| work.header("cherrystream-workspace").unwrap_or("none"));
     if let Some(name) = name.filter(|name| !holders.contains(name)) {
-        return Some(format!("ran for workspace {name}, and its key is of {holders:?}"));
+        return Some(format!("ran for workspace {name}, but its key belongs to {holders:?}"));
     }
     if work.is_some_and(|work| work.header("authorization").is_some()) {
-        return Some("its key went on to the backend server".into());
+        return Some("its key was forwarded to the backend server".into());
     }
-    let surely_held = |term: &&Term| {
-        term.held_at.is_some_and(|at| at + BOUND < told.sent_at)
-            && term.end_asked_at.is_none_or(|at| at > told.ended_at)
+    let certainly_held = |assignment: &&Assignment| {
+        assignment.held_at.is_some_and(|at| at + MAX_DELAY < record.sent_at)
+            && assignment.end_requested_at.is_none_or(|at| at > record.ended_at)
     };
-    let refused = told.status == 401 && of_key.iter().any(surely_held);
-    refused.then(|| "was refused, and its key had been held for longer than the bound".into())
+    let refused = record.status == 401 && of_key.iter().any(certainly_held);
+    refused.then(|| "was refused, although its key had been held for longer than the bound".into())
 }
 
-/// Counts the requests by what they were told.
-pub fn outcomes(told: &[Told]) -> String {
-    let count = |status: u16| told.iter().filter(|told| told.status == status).count();
-    format!("{} with keys: {} answered, {} told 401", told.len(), count(200), count(401))
+/// Counts the requests by status.
+pub fn outcomes(records: &[CallRecord]) -> String {
+    let count = |status: u16| records.iter().filter(|record| record.status == status).count();
+    format!("{} with keys: {} answered, {} refused with 401", records.len(), count(200), count(401))
 }
--- a/crates/cherrystream/tests/soak/main.rs
+++ b/crates/cherrystream/tests/soak/main.rs
@@ -1,19 +1,23 @@
-//! A randomized soak: real processes under faults from outside them, and the promises of the product
-//! checked from what callers, backend servers and operators see.
+//! A randomized soak test: runs real processes under injected faults, and checks the guarantees to
+//! callers, backend servers and operators from their observations.
 //!
-//! Hosts have thin links in most runs, and the route table is replaced by large ones all the time. But in the runs that have
-//! failed before there were workspaces, every request needs a key, and keys are given, taken away and moved.
+//! Hosts have slow links in most runs, and the route table is continually replaced by large ones.
+//! Except in the runs of `FAILED_SEEDS`, every request needs a key, and keys are added, revoked and
+//! moved.
 //!
-//! By hand: `SOAK_SEEDS=50 cargo test --release -p cherrystream --test soak -- --nocapture`; `SOAK_FIRST`
-//! is the first seed (drawn when absent and `SOAK_SEEDS` is set), `SOAK_SECONDS` the length of the faults,
-//! `SOAK_LARGE=1` makes every run one with many hosts.
+//! To run it by hand:
+//! `SOAK_SEEDS=50 cargo test --release -p cherrystream --test soak -- --nocapture`. `SOAK_FIRST` is
+//! the first seed (random by default if `SOAK_SEEDS` is set), `SOAK_SECONDS` the duration of the
+//! faults in seconds, and `SOAK_LARGE=1` gives every run many hosts.
 
 #[allow(dead_code)]
 #[path = "../processes/support/mod.rs"]
 mod support;
 
 mod callers;
-mod deadly;
+mod checks;
+mod cluster;
+mod crashing;
 mod keys;
 mod operators;
 #[path = "../../../../platform/tests/support/orders.rs"]
@@ -21,52 +25,47 @@
 mod plan;
 mod rollouts;
 mod tables;
-mod verdict;
 mod watchers;
-mod world;
 
+use cluster::Cluster;
 use parking_lot::Mutex;
-use plan::{Hosts, Size, Timed};
+use plan::{Hosts, ScheduledFault, Size};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 use support::wait;
-use world::World;
 
 /// Seeds that run in CI.
-const SEEDS_IN_CI: [u64; 2] = [1, 2];
-/// Seeds that have failed, each with its cause.
+const CI_SEEDS: [u64; 2] = [1, 2];
+/// Seeds of regressions, each with the failure that it guards against.
 const FAILED_SEEDS: &[(u64, &str)] = &[
-    (1000, "SIGTERM came before the process listened for it"),
-    (1001, "a second SIGTERM ended a planned stop at once and cut a request off"),
-    (1002, "a second SIGTERM ended a planned stop with exit code 1"),
-    (
-        2001,
-        "an answer with a large table did not come whole within the time of a call, with fixed replicas",
-    ),
-    (2005, "the same with seeds: a daemon that began with nothing never served"),
-    (2011, "control came to no quorum while a large table waited, not traced"),
+    (1000, "SIGTERM arrives before the process has installed its handler"),
+    (1001, "a second SIGTERM aborts a planned stop and a request in flight"),
+    (1002, "a second SIGTERM makes a planned stop exit with code 1"),
+    (2001, "the answer with a large table exceeds a call's timeout, with fixed replicas"),
+    (2005, "the same with seeds: a daemon without a configuration never serves"),
+    (2011, "control reaches no quorum while a large table is pending"),
 ];
-/// Seconds of faults in CI.
-const SECONDS_IN_CI: f64 = 3.0;
-/// Callers of each daemon.
-const CALLERS: u64 = 4;
-/// Operators at once.
-const OPERATORS: u64 = 2;
-/// One run in this many has more processes than the others.
+/// Duration of the faults in CI, in seconds.
+const CI_SECONDS: f64 = 3.0;
+/// Number of callers of each daemon.
+const CALLERS_PER_DAEMON: u64 = 4;
+/// Number of concurrent operators.
+const OPERATOR_COUNT: u64 = 2;
+/// One in this many runs has more processes.
 const LARGE_RUN_EVERY: u64 = 8;
-/// Daemons of a run with `SOAK_LARGE`: 123 processes, which held 3.2 GB together with the test (seed 5001).
-const DAEMONS_OF_LARGEST: usize = 60;
-/// One run in this many has planned stops and changes of settings only.
+/// Number of daemons of a run with `SOAK_LARGE`.
+const LARGEST_DAEMON_COUNT: usize = 60;
+/// One in this many runs has only planned stops and reloads of settings.
 const PLANNED_RUN_EVERY: u64 = 4;
-/// Sets the draws of hosts and series apart from those of the other faults, which stay what they were.
+/// Salt of the seed for hosts and series, which keeps the draws of the other faults independent.
 const HOSTS_SALT: u64 = 0x686f_7374;
 
 fn size_of(seed: u64) -> Size {
-    if number("SOAK_LARGE").is_some() {
-        return Size { controls: 3, daemons: DAEMONS_OF_LARGEST };
+    if env_number("SOAK_LARGE").is_some() {
+        return Size { controls: 3, daemons: LARGEST_DAEMON_COUNT };
     }
     match seed % LARGE_RUN_EVERY {
         0 => Size { controls: 3, daemons: 12 },
@@ -74,265 +73,273 @@
     }
 }
 
-fn number(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
-/// Seeds to run, with the length of the faults of each.
+/// Returns the seeds to run, and the duration of the faults of each.
 fn seeds() -> (Vec<u64>, Duration) {
-    let length = number("SOAK_SECONDS").map_or(SECONDS_IN_CI, |seconds| seconds as f64);
-    let seeds = match number("SOAK_SEEDS") {
+    let duration = env_number("SOAK_SECONDS").map_or(CI_SECONDS, |seconds| seconds as f64);
+    let seeds = match env_number("SOAK_SEEDS") {
         Some(count) => {
             let first =
-                number("SOAK_FIRST").unwrap_or_else(|| rand::rng().random_range(0..1 << 32));
+                env_number("SOAK_FIRST").unwrap_or_else(|| rand::rng().random_range(0..1 << 32));
             (first..first + count).collect()
         }
-        None => FAILED_SEEDS.iter().map(|(seed, _)| *seed).chain(SEEDS_IN_CI).collect(),
+        None => FAILED_SEEDS.iter().map(|(seed, _)| *seed).chain(CI_SEEDS).collect(),
     };
-    (seeds, Duration::from_secs_f64(length))
+    (seeds, Duration::from_secs_f64(duration))
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promises_hold_under_random_faults() {
-    let (seeds, length) = seeds();
+async fn guarantees_hold_under_random_faults() {
+    let (seeds, duration) = seeds();
     let mut failed = Vec::new();
     for seed in seeds {
-        let broken = run(seed, length).await;
-        if !broken.is_empty() {
-            failed.push((seed, broken));
+        let violations = run(seed, duration).await;
+        if !violations.is_empty() {
+            failed.push((seed, violations));
         }
     }
-    assert!(failed.is_empty(), "seeds with broken promises: {failed:#?}");
+    assert!(failed.is_empty(), "seeds with violated guarantees: {failed:#?}");
 }
 
-/// At the end no daemon took a key that its operators had been told holds, or they were never told.
+/// Guards against daemons that refuse an acknowledged key after all faults, and against control
+/// that never acknowledges one.
 #[tokio::test(flavor = "multi_thread")]
 async fn keys_settle_after_the_faults_of_seed_1394265061() {
-    let broken = run(1_394_265_061, Duration::from_secs_f64(SECONDS_IN_CI)).await;
-    assert!(broken.is_empty(), "{broken:#?}");
+    let violations = run(1_394_265_061, Duration::from_secs_f64(CI_SECONDS)).await;
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
-fn plan_of(seed: u64, size: Size, length: Duration) -> (Hosts, Vec<Timed>) {
-    let mut plan = plan::draw(&mut SmallRng::seed_from_u64(seed), size, length);
+fn plan_of(seed: u64, size: Size, duration: Duration) -> (Hosts, Vec<ScheduledFault>) {
+    let mut plan = plan::draw(&mut SmallRng::seed_from_u64(seed), size, duration);
     let mut rng = SmallRng::seed_from_u64(seed ^ HOSTS_SALT);
     let hosts = Hosts::draw(&mut rng);
-    plan.extend(plan::draw_series(&mut rng, size, length));
+    plan.extend(plan::draw_series(&mut rng, size, duration));
     if seed % PLANNED_RUN_EVERY == PLANNED_RUN_EVERY - 1 {
-        plan.retain(|timed| !timed.fault.is_rough());
+        plan.retain(|scheduled| !scheduled.fault.is_disruptive());
     }
-    plan.sort_by_key(|timed| timed.at);
+    plan.sort_by_key(|scheduled| scheduled.at);
     (hosts, plan)
 }
 
-/// Runs one seed; returns the promises that were broken.
-async fn run(seed: u64, length: Duration) -> Vec<String> {
+/// Runs one seed; returns the violated guarantees.
+async fn run(seed: u64, duration: Duration) -> Vec<String> {
     let size = size_of(seed);
-    let (hosts, plan) = plan_of(seed, size, length);
+    let (hosts, plan) = plan_of(seed, size, duration);
     let keyed = FAILED_SEEDS.iter().all(|(failed, _)| *failed != seed);
-    let (mut world, tables) = World::start(size, hosts, seed, keyed).await;
-    let watched = world.watched();
+    let (mut cluster, tables) = Cluster::start(size, hosts, seed, keyed).await;
+    let watched = cluster.watched();
     let stop = Arc::new(AtomicBool::new(false));
     let mut calling = tokio::task::JoinSet::new();
     for (i, daemon) in watched.iter().enumerate() {
-        for caller in 0..CALLERS {
-            let seed = (seed << 16) + (i as u64) * CALLERS + caller;
+        for caller in 0..CALLERS_PER_DAEMON {
+            let seed = (seed << 16) + (i as u64) * CALLERS_PER_DAEMON + caller;
             calling.spawn(callers::call(daemon.clone(), seed, stop.clone()));
         }
     }
     let mut watching = tokio::task::JoinSet::new();
     for watched in &watched {
-        watching.spawn(watched.clone().watch(tables.board.clone(), stop.clone()));
+        watching.spawn(watched.clone().watch(tables.accepted_tables.clone(), stop.clone()));
     }
     let stop_tables = Arc::new(AtomicBool::new(false));
     let replacing = tokio::spawn(tables.operate(stop_tables.clone()));
-    let apis = world.apis(size);
+    let apis = cluster.apis(size);
     let stop_keys = Arc::new(AtomicBool::new(false));
     let keys = keys::Operator::new(apis.clone(), seed).operate(stop_keys.clone());
     let keys = keyed.then(|| tokio::spawn(keys));
-    let with_keys = Arc::<Mutex<Vec<keys::Told>>>::default();
+    let keyed_records = Arc::<Mutex<Vec<keys::CallRecord>>>::default();
     let mut calling_with_keys = tokio::task::JoinSet::new();
     for daemon in watched.iter().filter(|_| keyed) {
         let seed = (seed << 16) + daemon.daemon as u64;
-        let (stop, told) = (stop.clone(), with_keys.clone());
-        calling_with_keys.spawn(keys::call(daemon.clone(), seed, stop, told));
+        let (stop, records) = (stop.clone(), keyed_records.clone());
+        calling_with_keys.spawn(keys::call(daemon.clone(), seed, stop, records));
     }
     let mut operating = tokio::task::JoinSet::new();
-    for operator in 0..OPERATORS {
+    for operator in 0..OPERATOR_COUNT {
         let seed = (seed << 8) + operator;
         operating.spawn(operators::operate(apis.clone(), seed, stop.clone()));
     }
-    let is_deadly = keyed && deadly::is_in(seed);
-    let stop_deadly = Arc::new(AtomicBool::new(false));
-    let calling_deadly = is_deadly.then(|| {
-        world.begin_deadly();
-        tokio::spawn(deadly::call(watched.clone(), seed, stop_deadly.clone()))
+    let sends_crashing = keyed && crashing::is_in(seed);
+    let stop_crashing = Arc::new(AtomicBool::new(false));
+    let calling_crashing = sends_crashing.then(|| {
+        cluster.begin_crash_requests();
+        tokio::spawn(crashing::call(watched.clone(), seed, stop_crashing.clone()))
     });
     let stop_rollouts = Arc::new(AtomicBool::new(false));
     let rolling = rollouts::operate(apis.clone(), seed, stop_rollouts.clone());
     let rolling = (keyed && rollouts::is_in(seed)).then(|| tokio::spawn(rolling));
-    strike(&mut world, &plan).await;
-    let mut broken = Vec::new();
-    if let Some(calling) = calling_deadly {
-        broken.extend(deadly::settle(&mut world).await);
-        stop_deadly.store(true, Ordering::Relaxed);
-        calling.await.expect("the caller of the deadly request has not panicked");
-        deadly::restore(&mut world).await;
+    inject_faults(&mut cluster, &plan).await;
+    let mut violations = Vec::new();
+    if let Some(calling) = calling_crashing {
+        violations.extend(crashing::settle(&mut cluster).await);
+        stop_crashing.store(true, Ordering::Relaxed);
+        calling.await.expect("the caller of the crashing request has not panicked");
+        crashing::restore(&mut cluster).await;
     }
-    let recovered = recover(&world, &mut broken).await;
+    let recovered = recover(&cluster, &mut violations).await;
     stop_rollouts.store(true, Ordering::Relaxed);
     if let Some(rolling) = rolling {
-        let mut told = rolling.await.expect("the operator of roll-outs has not panicked");
-        rollouts::settle(&apis[0], &mut told).await;
-        broken.append(&mut told.broken);
+        let mut observed = rolling.await.expect("the operator of roll-outs has not panicked");
+        rollouts::settle(&apis[0], &mut observed).await;
+        violations.append(&mut observed.violations);
     }
     stop_tables.store(true, Ordering::Relaxed);
     stop_keys.store(true, Ordering::Relaxed);
     let (mut tables, mut replaced) =
         replacing.await.expect("the operator of tables has not panicked");
-    let last = change_at_rest(&mut tables, &watched, &mut broken).await;
+    let last = change_after_faults(&mut tables, &watched, &mut violations).await;
     let keys = match keys {
-        Some(keys) => Some(settle(keys, &watched, &mut broken).await),
+        Some(keys) => Some(settle_keys(keys, &watched, &mut violations).await),
         None => None,
     };
     stop.store(true, Ordering::Relaxed);
     calling_with_keys.join_all().await;
-    let with_keys = std::mem::take(&mut *with_keys.lock());
-    let told: Vec<callers::Told> = calling.join_all().await.into_iter().flatten().collect();
+    let keyed_records = std::mem::take(&mut *keyed_records.lock());
+    let records: Vec<callers::CallRecord> =
+        calling.join_all().await.into_iter().flatten().collect();
     let reports = operating.join_all().await;
-    let looks = watching.join_all().await;
-    world.check_running(size);
-    broken.append(&mut verdict::judge(&world, &told));
+    let observations = watching.join_all().await;
+    cluster.check_running(size);
+    violations.append(&mut checks::violations(&cluster, &records));
     if let Some(keys) = &keys {
-        broken.append(&mut keys::judge(keys, &with_keys, &verdict::all_runs(&world)));
+        violations.append(&mut keys::violations(keys, &keyed_records, &checks::all_runs(&cluster)));
     }
-    broken.append(&mut replaced.broken);
-    broken.extend(looks.iter().flat_map(|look| look.broken.clone()));
-    broken.append(&mut world.bad_ends);
+    violations.append(&mut replaced.violations);
+    violations.extend(observations.iter().flat_map(|observation| observation.violations.clone()));
+    violations.append(&mut cluster.unexpected_exits);
     let mut accepted = Vec::new();
     for mut report in reports {
-        broken.append(&mut report.broken);
+        violations.append(&mut report.violations);
         accepted.append(&mut report.accepted);
     }
     match read_back(&apis[0], &accepted).await {
         Some(missing) if missing.is_empty() => {}
-        Some(missing) => broken.push(format!("accepted, but gone at the end: {missing:?}")),
-        None => broken.push("the configuration is not read back after all faults".into()),
+        Some(missing) => violations.push(format!("accepted, but missing at the end: {missing:?}")),
+        None => violations.push("the configuration cannot be read back after all faults".into()),
     }
-    let unanswered = verdict::unanswered(&world, &told);
+    let unanswered = checks::unanswered(&cluster, &records);
     println!(
-        "seed {seed}: {} daemons, {hosts:?}, faults {:?}, {} requests {:?}, {}, {} of unstruck daemons without an answer, \
-         {} changes and {} tables accepted, a daemon behind for {:?} at most, served again after \
-         {recovered:?}, last table in force after {last:?}, {} promises broken",
+        "seed {seed}: {} daemons, {hosts:?}, faults {:?}, {} requests {:?}, {}, \
+         {} without an answer from daemons that were not killed, \
+         {} changes and {} tables accepted, a daemon lagged for at most {:?}, served again after \
+         {recovered:?}, last table applied after {last:?}, {} guarantees violated",
         size.daemons,
         plan::count(&plan),
-        told.len(),
-        verdict::outcomes(&told),
-        keys::outcomes(&with_keys),
+        records.len(),
+        checks::outcomes(&records),
+        keys::outcomes(&keyed_records),
         unanswered.len(),
         accepted.len(),
         replaced.accepted,
-        looks.iter().map(|look| look.longest).max().unwrap_or_default(),
-        broken.len(),
+        observations.iter().map(|observation| observation.longest).max().unwrap_or_default(),
+        violations.len(),
     );
     unanswered.iter().for_each(|what| println!("seed {seed}: unanswered, not run: {what}"));
-    broken.iter().for_each(|what| println!("seed {seed}: {what}"));
-    if !broken.is_empty() {
-        keep_logs(&world, seed);
+    violations.iter().for_each(|what| println!("seed {seed}: {what}"));
+    if !violations.is_empty() {
+        keep_logs(&cluster, seed);
     }
-    broken
+    violations
 }
 
-/// Lets the faults of a plan strike at their times; all have ended when it returns.
-async fn strike(world: &mut World, plan: &[Timed]) {
+/// Injects the faults of a plan at their times; returns after all have ended.
+async fn inject_faults(cluster: &mut Cluster, plan: &[ScheduledFault]) {
     let start = Instant::now();
-    let mut ends: Vec<(Duration, &Timed)> = Vec::new();
-    for timed in plan {
-        end_until(world, &mut ends, start, timed.at).await;
-        tokio::time::sleep_until((start + timed.at).into()).await;
-        world.settle_stops().await;
-        world.settle_servers().await;
-        println!("{:?}: begins: {:?} for {:?}", start.elapsed(), timed.fault, timed.lasts);
-        world.begin(&timed.fault).await;
-        ends.push((timed.at + timed.lasts, timed));
+    let mut ends: Vec<(Duration, &ScheduledFault)> = Vec::new();
+    for scheduled in plan {
+        end_until(cluster, &mut ends, start, scheduled.at).await;
+        tokio::time::sleep_until((start + scheduled.at).into()).await;
+        cluster.restart_stopped().await;
+        cluster.restart_crashed_servers().await;
+        println!(
+            "{:?}: begins: {:?} for {:?}",
+            start.elapsed(),
+            scheduled.fault,
+            scheduled.duration
+        );
+        cluster.begin(&scheduled.fault).await;
+        ends.push((scheduled.at + scheduled.duration, scheduled));
     }
-    end_until(world, &mut ends, start, Duration::MAX).await;
-    world.finish_stops().await;
+    end_until(cluster, &mut ends, start, Duration::MAX).await;
+    cluster.wait_for_stops().await;
 }
 
-/// Ends the faults whose time comes before a moment, in their order.
+/// Ends the faults that are due until a moment, in order.
 async fn end_until(
-    world: &mut World,
-    ends: &mut Vec<(Duration, &Timed)>,
+    cluster: &mut Cluster,
+    ends: &mut Vec<(Duration, &ScheduledFault)>,
     start: Instant,
     moment: Duration,
 ) {
     ends.sort_by_key(|(at, _)| *at);
-    while let Some((at, timed)) = ends.first().copied().filter(|(at, _)| *at <= moment) {
+    while let Some((at, scheduled)) = ends.first().copied().filter(|(at, _)| *at <= moment) {
         ends.remove(0);
         tokio::time::sleep_until((start + at).into()).await;
-        println!("{:?}: ends: {:?}", start.elapsed(), timed.fault);
-        world.end(&timed.fault).await;
-        world.settle_stops().await;
+        println!("{:?}: ends: {:?}", start.elapsed(), scheduled.fault);
+        cluster.end(&scheduled.fault).await;
+        cluster.restart_stopped().await;
     }
 }
 
-/// Waits until every daemon serves; returns how long that took. One that does not within the time in which
-/// a change is in force breaks a promise.
-async fn recover(world: &World, broken: &mut Vec<String>) -> Duration {
+/// Waits until every daemon serves, and returns the time taken. Adds a violation for each daemon
+/// that doesn't within the time for applying a change.
+async fn recover(cluster: &Cluster, violations: &mut Vec<String>) -> Duration {
     let start = Instant::now();
-    let until = start + watchers::IN_FORCE_WITHIN;
-    for daemon in &world.daemons {
+    let until = start + watchers::MAX_PROPAGATION_TIME;
+    for daemon in &cluster.daemons {
         let serving = daemon.serves("quotes");
         if tokio::time::timeout_at(until.into(), serving).await.is_err() {
-            broken.push(format!("{} does not serve after all faults", daemon.host));
+            violations.push(format!("{} does not serve after all faults", daemon.host));
         }
     }
     start.elapsed()
 }
 
-/// Returns which accepted kinds are gone; `None` when control does not tell within the time in which a change
-/// is in force.
+/// Returns the accepted kinds that are missing; `None` if control doesn't answer within the time
+/// for applying a change.
 async fn read_back(api: &str, accepted: &[String]) -> Option<Vec<String>> {
     let reading = wait::until("the configuration is read back", || async {
         operators::missing(api, accepted).await
     });
-    tokio::time::timeout(watchers::IN_FORCE_WITHIN, reading).await.ok()
+    tokio::time::timeout(watchers::MAX_PROPAGATION_TIME, reading).await.ok()
 }
 
-/// Makes a large change while no fault strikes; returns how long it took to be in force everywhere.
-async fn change_at_rest(
+/// Makes a large change after all faults; returns the time until all daemons have applied it.
+async fn change_after_faults(
     tables: &mut tables::Operator,
-    watched: &[watchers::Watched],
-    broken: &mut Vec<String>,
+    watched: &[watchers::WatchedDaemon],
+    violations: &mut Vec<String>,
 ) -> Option<Duration> {
     if !tables.replace_last().await {
-        broken.push("the last table was not accepted".into());
+        violations.push("the last table was not accepted".into());
     }
-    match watchers::in_force(watched, tables.board.newest()?).await {
+    match watchers::wait_until_applied(watched, tables.accepted_tables.newest()?).await {
         Ok(longest) => Some(longest),
         Err(mut late) => {
-            broken.append(&mut late);
+            violations.append(&mut late);
             None
         }
     }
 }
 
-/// Takes keys away at rest, and sees that all daemons go by that.
-async fn settle(
+/// Revokes keys after all faults, and checks that all daemons follow.
+async fn settle_keys(
     operating: tokio::task::JoinHandle<keys::Operator>,
-    watched: &[watchers::Watched],
-    broken: &mut Vec<String>,
+    watched: &[watchers::WatchedDaemon],
+    violations: &mut Vec<String>,
 ) -> keys::Operator {
     let mut operator = operating.await.expect("the operator of keys has not panicked");
-    broken.append(&mut operator.settle(watched).await);
+    violations.append(&mut operator.settle(watched).await);
     operator
 }
 
-/// Keeps the logs of a run with a broken promise.
-fn keep_logs(world: &World, seed: u64) {
+/// Copies the logs of a run with violations to a folder that is kept.
+fn keep_logs(cluster: &Cluster, seed: u64) {
     let folder = std::env::temp_dir().join(format!("cherrystream-soak-{seed}"));
     let _ = std::fs::create_dir_all(&folder);
-    for file in std::fs::read_dir(world.site.folder.path()).into_iter().flatten().flatten() {
+    for file in std::fs::read_dir(cluster.site.folder.path()).into_iter().flatten().flatten() {
         let _ = std::fs::copy(file.path(), folder.join(file.file_name()));
     }
     println!("seed {seed}: logs and records are kept in {}", folder.display());
--- a/crates/cherrystream/tests/soak/operators.rs
+++ b/crates/cherrystream/tests/soak/operators.rs
@@ -1,4 +1,4 @@
-//! Operators who change the configuration while faults strike.
+//! Operators that change the configuration during faults.
 
 use crate::support::client::{self, Ask};
 use cherrystream_schema::messages::{ConfigReply, PlanReply};
@@ -9,24 +9,24 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Pause between two orders.
+/// Pause between two requests.
 const PAUSE: Duration = Duration::from_millis(60);
-/// Longest wait for an answer of control.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Times that a confirmation is sent until it has a clear answer.
-const CONFIRMATIONS: usize = 20;
+/// Timeout of a request to control.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of attempts to confirm a plan.
+const MAX_CONFIRM_ATTEMPTS: usize = 20;
 
-/// What an operator did.
+/// Observations of an operator.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Names of the kinds whose plans were acknowledged as accepted.
+    /// Names of the kinds that control accepted.
     pub accepted: Vec<String>,
-    /// Promises of control that were broken.
-    pub broken: Vec<String>,
+    /// Violated guarantees of control.
+    pub violations: Vec<String>,
     pub reads: usize,
 }
 
-/// Declares kinds, one after the other, and reads them back, until told to stop.
+/// Declares kinds and reads them back until `stop` is set.
 pub async fn operate(apis: Vec<String>, seed: u64, stop: Arc<AtomicBool>) -> Report {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut report = Report::default();
@@ -42,7 +42,9 @@
         if let Some(missing) = missing(api, &report.accepted).await {
             report.reads += 1;
             if !missing.is_empty() {
-                report.broken.push(format!("{api} reads back without the accepted {missing:?}"));
+                report
+                    .violations
+                    .push(format!("{api} reads back without the accepted kinds {missing:?}"));
             }
         }
         tokio::time::sleep(PAUSE).await;
@@ -50,7 +52,7 @@
     report
 }
 
-/// Declares a kind; returns whether that was acknowledged.
+/// Declares a kind; returns whether control acknowledged it.
 async fn declare(apis: &[String], rng: &mut SmallRng, kind: &str) -> bool {
     let intent = json!({
         "intent": "put-kind", "service": "quotes", "kind": kind, "method": "PUT",
@@ -63,8 +65,8 @@
     };
     let Ok(plan) = serde_json::from_slice::<PlanReply>(&planned.body) else { return false };
     let confirm = Ask::post(&format!("/v1/plans/{}/confirm", plan.plan), "");
-    // An answer may be lost: the same confirmation is sent again, to any replica.
-    for _ in 0..CONFIRMATIONS {
+    // An answer may be lost, so the same confirmation is sent again to any replica.
+    for _ in 0..MAX_CONFIRM_ATTEMPTS {
         let api = &apis[rng.random_range(0..apis.len())];
         match ask_control(api, &confirm).await.map(|answer| answer.status.as_u16()) {
             Some(200) => return true,
@@ -75,12 +77,12 @@
     false
 }
 
-/// Asks a replica, with patience.
+/// Sends a request to a replica; returns `None` if it fails or times out.
 pub async fn ask_control(api: &str, ask: &Ask) -> Option<client::Answer> {
-    tokio::time::timeout(PATIENCE, client::send(api, ask)).await.ok()?
+    tokio::time::timeout(ANSWER_TIMEOUT, client::send(api, ask)).await.ok()?
 }
 
-/// Returns which kinds a replica reads back without; `None` when it does not answer for sure.
+/// Returns the kinds that are missing at a replica; `None` if it gives no definite answer.
 pub async fn missing(api: &str, kinds: &[String]) -> Option<Vec<String>> {
     let answer = ask_control(api, &Ask::get("/v1/config")).await?;
     let reply: ConfigReply = serde_json::from_slice(&answer.body).ok()?;
--- a/crates/cherrystream/tests/soak/plan.rs
+++ b/crates/cherrystream/tests/soak/plan.rs
@@ -6,80 +6,80 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Shortest and longest time for which a fault lasts, in milliseconds.
-const LASTS_MS: std::ops::Range<u64> = 100..1_800;
+/// Duration of a fault, in milliseconds.
+const DURATION_MS: std::ops::Range<u64> = 100..1_800;
 /// Mean pause between two faults, in milliseconds.
-const PAUSE_MS: u64 = 160;
+const MEAN_PAUSE_MS: u64 = 160;
 
-/// Mean pause between two series, in milliseconds.
-const SERIES_PAUSE_MS: u64 = 1_500;
+/// Mean pause between two series of signals, in milliseconds.
+const MEAN_SERIES_PAUSE_MS: u64 = 1_500;
 /// Pause between the signals of a series, in milliseconds.
 const SERIES_STEP_MS: u64 = 120;
-/// Time for which the faults of a series last, in milliseconds.
-const SERIES_LASTS_MS: u64 = 300;
-/// Bytes a second of hosts' links: those of the users' two grown sites (2.7 and 3.8 Mbit/s) and half of the
-/// slower one; `None` for links without a limit.
-const LINK_RATES: [Option<u64>; 4] = [None, Some(170_000), Some(340_000), Some(475_000)];
+/// Duration of each fault of a series, in milliseconds.
+const SERIES_DURATION_MS: u64 = 300;
+/// Rates of hosts' links in bytes per second: 3.8 and 2.7 Mbit/s, and half of the slower one;
+/// `None` for unlimited links.
+const LINK_BYTES_PER_SECOND: [Option<u64>; 4] = [None, Some(170_000), Some(340_000), Some(475_000)];
 
-/// How the hosts of a run are set up.
+/// Setup of the hosts of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Hosts {
-    /// Bytes a second that the links between hosts pass.
+    /// Rate of the links between hosts in bytes per second.
     pub link_rate: Option<u64>,
-    /// Whether daemons find control by seeds.
+    /// Whether daemons discover control by seeds.
     pub seeds: bool,
 }
 
 impl Hosts {
     pub fn draw(rng: &mut SmallRng) -> Hosts {
-        let link_rate = LINK_RATES[rng.random_range(0..LINK_RATES.len())];
+        let link_rate = LINK_BYTES_PER_SECOND[rng.random_range(0..LINK_BYTES_PER_SECOND.len())];
         Hosts { link_rate, seeds: rng.random_bool(0.5) }
     }
 }
 
-/// How many of each kind of process a run has.
+/// Number of processes of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub controls: u64,
     pub daemons: usize,
 }
 
-/// What a signal does to a process.
+/// A fault of a process, caused by a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Hit {
-    /// It is killed, and started again later.
+pub enum ProcessFault {
+    /// Kills the process; it is restarted later.
     Kill,
-    /// It is asked to stop, and started again once it has ended.
+    /// Requests a graceful stop; the process is restarted after it has exited.
     Stop,
-    /// It stands still for a while.
+    /// Suspends the process for a while.
     Pause,
-    /// It is told that its settings have changed.
+    /// Makes the process reload its settings.
     Reload,
 }
 
-impl Hit {
-    /// Returns whether the process is told something, and ends by itself if at all.
-    pub fn is_kind(self) -> bool {
-        matches!(self, Hit::Stop | Hit::Reload)
+impl ProcessFault {
+    /// Returns whether the process handles the signal itself.
+    pub fn is_graceful(self) -> bool {
+        matches!(self, ProcessFault::Stop | ProcessFault::Reload)
     }
 }
 
 /// A fault.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    Daemon(usize, Hit),
-    Control(u64, Hit),
-    /// A control replica is killed and comes back with an empty disk.
+    Daemon(usize, ProcessFault),
+    Control(u64, ProcessFault),
+    /// A control replica is killed and restarted with an empty disk.
     LostDisk(u64),
-    /// A backend server is killed and started again.
+    /// A backend server is killed and restarted.
     Server(usize),
-    /// A backend server misbehaves: the body for its switch.
-    Misbehaves(usize, serde_json::Value),
-    /// A relay does something else than to pass on.
+    /// A backend server simulates faults; the value is the body of the request that sets them.
+    FaultyServer(usize, serde_json::Value),
+    /// A relay disturbs the connections that pass through it.
     Link(Link, Mode),
 }
 
-/// A way on which a relay lies.
+/// A connection that passes through a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Link {
     /// From all other daemons to this one.
@@ -93,24 +93,24 @@
 }
 
 impl Fault {
-    /// Returns whether requests may go wrong by the fault itself: not by planned stops and changes of
-    /// settings, nor by anything that strikes control alone.
-    pub fn is_rough(&self) -> bool {
+    /// Returns whether the fault itself may make requests fail. Planned stops, reloads and faults
+    /// of control alone may not.
+    pub fn is_disruptive(&self) -> bool {
         match self {
-            Fault::Daemon(_, hit) => !hit.is_kind(),
+            Fault::Daemon(_, process_fault) => !process_fault.is_graceful(),
             Fault::Control(..) | Fault::LostDisk(_) => false,
-            Fault::Server(_) | Fault::Misbehaves(..) | Fault::Link(..) => true,
+            Fault::Server(_) | Fault::FaultyServer(..) | Fault::Link(..) => true,
         }
     }
 
-    /// Returns a short name of the kind of fault.
+    /// Returns the name of the kind of fault.
     pub fn kind(&self) -> String {
         match self {
-            Fault::Daemon(_, hit) => format!("daemon-{hit:?}").to_lowercase(),
-            Fault::Control(_, hit) => format!("control-{hit:?}").to_lowercase(),
+            Fault::Daemon(_, process_fault) => format!("daemon-{process_fault:?}").to_lowercase(),
+            Fault::Control(_, process_fault) => format!("control-{process_fault:?}").to_lowercase(),
             Fault::LostDisk(_) => "control-lost-disk".into(),
             Fault::Server(_) => "server-kill".into(),
-            Fault::Misbehaves(..) => "server-misbehaves".into(),
+            Fault::FaultyServer(..) => "server-misbehaves".into(),
             Fault::Link(link, mode) => {
                 let link = match link {
                     Link::Peer(_) => "peer",
@@ -124,16 +124,17 @@
     }
 }
 
-/// A fault with its time.
+/// A fault with its start and duration.
 #[derive(Clone, Debug)]
-pub struct Timed {
+pub struct ScheduledFault {
     pub at: Duration,
-    pub lasts: Duration,
+    pub duration: Duration,
     pub fault: Fault,
 }
 
-/// Draws the faults of a run. At most one disk is lost in a run: two could be all that held a change.
-pub fn draw(rng: &mut SmallRng, size: Size, length: Duration) -> Vec<Timed> {
+/// Draws the faults of a run. At most one disk is lost in a run, because two could hold the only
+/// copies of a change.
+pub fn draw(rng: &mut SmallRng, size: Size, length: Duration) -> Vec<ScheduledFault> {
     let mut plan = Vec::new();
     let mut at = Duration::from_millis(200);
     let mut disk_lost = false;
@@ -142,62 +143,69 @@
         let another_disk = matches!(fault, Fault::LostDisk(_)) && disk_lost;
         if !another_disk {
             disk_lost |= matches!(fault, Fault::LostDisk(_));
-            let lasts = Duration::from_millis(rng.random_range(LASTS_MS));
-            plan.push(Timed { at, lasts, fault });
+            let duration = Duration::from_millis(rng.random_range(DURATION_MS));
+            plan.push(ScheduledFault { at, duration, fault });
         }
-        at += Duration::from_millis(rng.random_range(0..2 * PAUSE_MS));
+        at += Duration::from_millis(rng.random_range(0..2 * MEAN_PAUSE_MS));
     }
     plan
 }
 
-/// Draws series of signals, which come beside the other faults: one after the other, or all at once.
-pub fn draw_series(rng: &mut SmallRng, size: Size, length: Duration) -> Vec<Timed> {
+/// Draws series of signals in addition to the other faults. Signals of a series come one after the
+/// other or all at once.
+pub fn draw_series(rng: &mut SmallRng, size: Size, length: Duration) -> Vec<ScheduledFault> {
     let mut plan = Vec::new();
-    let mut at = Duration::from_millis(rng.random_range(0..SERIES_PAUSE_MS));
+    let mut at = Duration::from_millis(rng.random_range(0..MEAN_SERIES_PAUSE_MS));
     while at < length {
         plan.extend(draw_one_series(rng, size, at));
-        at += Duration::from_millis(rng.random_range(0..2 * SERIES_PAUSE_MS));
+        at += Duration::from_millis(rng.random_range(0..2 * MEAN_SERIES_PAUSE_MS));
     }
     plan
 }
 
-fn draw_one_series(rng: &mut SmallRng, size: Size, start: Duration) -> Vec<Timed> {
+fn draw_one_series(rng: &mut SmallRng, size: Size, start: Duration) -> Vec<ScheduledFault> {
     let daemons = 0..size.daemons;
     let faults: Vec<Fault> = match rng.random_range(0..5) {
-        0 => daemons.map(|i| Fault::Daemon(i, Hit::Stop)).collect(),
-        1 => daemons.step_by(2).map(|i| Fault::Daemon(i, Hit::Kill)).collect(),
-        2 => (1..=size.controls).map(|r| Fault::Control(r, Hit::Stop)).collect(),
+        0 => daemons.map(|i| Fault::Daemon(i, ProcessFault::Stop)).collect(),
+        1 => daemons.step_by(2).map(|i| Fault::Daemon(i, ProcessFault::Kill)).collect(),
+        2 => (1..=size.controls).map(|r| Fault::Control(r, ProcessFault::Stop)).collect(),
         3 => {
             let daemon = rng.random_range(daemons);
-            [Hit::Reload, Hit::Stop, Hit::Reload, Hit::Stop]
+            [ProcessFault::Reload, ProcessFault::Stop, ProcessFault::Reload, ProcessFault::Stop]
                 .map(|h| Fault::Daemon(daemon, h))
                 .into()
         }
-        _ => (1..=size.controls).map(|r| Fault::Control(r, Hit::Kill)).collect(),
+        _ => (1..=size.controls).map(|r| Fault::Control(r, ProcessFault::Kill)).collect(),
     };
     let step = SERIES_STEP_MS * rng.random_range(0..2);
-    let timed = |(n, fault)| {
+    let scheduled = |(n, fault)| {
         let at = start + Duration::from_millis(step * n as u64);
-        Timed { at, lasts: Duration::from_millis(SERIES_LASTS_MS), fault }
+        ScheduledFault { at, duration: Duration::from_millis(SERIES_DURATION_MS), fault }
     };
-    faults.into_iter().enumerate().map(timed).collect()
+    faults.into_iter().enumerate().map(scheduled).collect()
 }
 
 fn draw_fault(rng: &mut SmallRng, size: Size) -> Fault {
     let daemon = rng.random_range(0..size.daemons);
     let control = rng.random_range(1..=size.controls);
     match rng.random_range(0..100) {
-        0..30 => Fault::Daemon(daemon, draw_hit(rng)),
-        30..45 => Fault::Control(control, draw_hit(rng)),
+        0..30 => Fault::Daemon(daemon, draw_process_fault(rng)),
+        30..45 => Fault::Control(control, draw_process_fault(rng)),
         45..48 => Fault::LostDisk(control),
         48..56 => Fault::Server(daemon),
-        56..66 => Fault::Misbehaves(daemon, draw_misbehaviour(rng)),
+        56..66 => Fault::FaultyServer(daemon, draw_server_fault(rng)),
         _ => Fault::Link(draw_link(rng, size, daemon, control), draw_mode(rng)),
     }
 }
 
-fn draw_hit(rng: &mut SmallRng) -> Hit {
-    [Hit::Kill, Hit::Stop, Hit::Stop, Hit::Pause, Hit::Reload][rng.random_range(0..5)]
+fn draw_process_fault(rng: &mut SmallRng) -> ProcessFault {
+    [
+        ProcessFault::Kill,
+        ProcessFault::Stop,
+        ProcessFault::Stop,
+        ProcessFault::Pause,
+        ProcessFault::Reload,
+    ][rng.random_range(0..5)]
 }
 
 fn draw_mode(rng: &mut SmallRng) -> Mode {
@@ -213,7 +221,7 @@
     }
 }
 
-fn draw_misbehaviour(rng: &mut SmallRng) -> serde_json::Value {
+fn draw_server_fault(rng: &mut SmallRng) -> serde_json::Value {
     match rng.random_range(0..6) {
         0 => serde_json::json!({"slow_ms": 150}),
         1 => serde_json::json!({"stall_ms": 900}),
@@ -225,10 +233,10 @@
 }
 
 /// Counts the faults of a plan by kind.
-pub fn count(plan: &[Timed]) -> BTreeMap<String, usize> {
+pub fn count(plan: &[ScheduledFault]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
-    for timed in plan {
-        *counts.entry(timed.fault.kind()).or_default() += 1;
+    for scheduled in plan {
+        *counts.entry(scheduled.fault.kind()).or_default() += 1;
     }
     counts
 }
--- a/crates/cherrystream/tests/soak/rollouts.rs
+++ b/crates/cherrystream/tests/soak/rollouts.rs
@@ -1,5 +1,6 @@
-//! An operator who rolls versions out while faults strike. No backend server tells such a version, so each roll-out ends
-//! rolled back when its time is over; what is checked is that control keeps what it has acknowledged and decided.
+//! An operator that starts and stops roll-outs during faults. No backend server reports such a
+//! version, so each roll-out is rolled back when its time is over. Checks that control keeps
+//! acknowledged roll-outs and their decisions.
 
 use crate::operators::ask_control;
 use crate::support::client::Ask;
@@ -11,36 +12,36 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// One fresh seed in so many has such an operator.
-const ONE_IN: u64 = 3;
+/// One in this many runs has such an operator.
+const ROLLOUT_RUN_EVERY: u64 = 3;
 const SERVICE: &str = "quotes";
-/// Shortest time that control takes.
+/// Shortest duration of a roll-out that control accepts, in milliseconds.
 const WITHIN_MS: u64 = 5_000;
-/// Pause between two orders.
+/// Pause between two requests.
 const PAUSE: Duration = Duration::from_millis(300);
-/// Time beyond that of the last roll-out in which it is decided once all faults are over.
-const DECIDED_WITHIN: Duration = Duration::from_secs(18);
+/// Time beyond the roll-out's duration in which it must be decided after all faults.
+const DECISION_TIMEOUT: Duration = Duration::from_secs(18);
 
 /// Returns whether a run has such an operator.
 pub fn is_in(seed: u64) -> bool {
-    seed % ONE_IN == 1
+    seed % ROLLOUT_RUN_EVERY == 1
 }
 
-/// What the operator knows.
+/// State that the operator has observed.
 #[derive(Default)]
-pub struct Told {
-    /// Number of the last order that was acknowledged.
+pub struct Observed {
+    /// Number of the last acknowledged roll-out.
     acknowledged: Option<u64>,
-    /// The last decision that was read.
+    /// The last decision that was read back.
     decided: Option<Rollout>,
-    /// Promises that were broken.
-    pub broken: Vec<String>,
+    /// Violated guarantees.
+    pub violations: Vec<String>,
 }
 
-/// Starts and stops roll-outs, and reads them back, until told to stop.
-pub async fn operate(apis: Vec<String>, seed: u64, stop: Arc<AtomicBool>) -> Told {
+/// Starts and stops roll-outs and reads them back until `stop` is set.
+pub async fn operate(apis: Vec<String>, seed: u64, stop: Arc<AtomicBool>) -> Observed {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut told = Told::default();
+    let mut observed = Observed::default();
     for n in 0.. {
         if stop.load(Ordering::Relaxed) {
             break;
@@ -55,35 +56,35 @@
         let starts = intent["intent"] == "start-rollout";
         let api = &apis[rng.random_range(0..apis.len())];
         if accept(api, &intent).await && starts {
-            told.acknowledged = Some(n);
+            observed.acknowledged = Some(n);
         }
         let api = &apis[rng.random_range(0..apis.len())];
         if let Some(rollout) = read(api).await {
-            told.check(rollout);
+            observed.check(rollout);
         }
         tokio::time::sleep(PAUSE).await;
     }
-    told
+    observed
 }
 
 /// Waits until the last roll-out is decided.
-pub async fn settle(api: &str, told: &mut Told) {
-    if told.acknowledged.is_none() {
+pub async fn settle(api: &str, observed: &mut Observed) {
+    if observed.acknowledged.is_none() {
         return;
     }
     let deciding = async {
         loop {
             if let Some(rollout) = read(api).await
-                && told.check(rollout)
+                && observed.check(rollout)
             {
                 return;
             }
             tokio::time::sleep(PAUSE).await;
         }
     };
-    let within = Duration::from_millis(WITHIN_MS) + DECIDED_WITHIN;
+    let within = Duration::from_millis(WITHIN_MS) + DECISION_TIMEOUT;
     if tokio::time::timeout(within, deciding).await.is_err() {
-        told.broken.push("a roll-out is not decided after all faults".into());
+        observed.violations.push("a roll-out is still undecided after all faults".into());
     }
 }
 
@@ -95,13 +96,13 @@
     version.strip_prefix("soak-")?.parse().ok()
 }
 
-impl Told {
-    /// Checks what was read against what was told before; returns whether the roll-out is decided.
+impl Observed {
+    /// Checks a roll-out against earlier observations; returns whether it is decided.
     fn check(&mut self, rollout: Option<Rollout>) -> bool {
         let number = rollout.as_ref().and_then(|rollout| number(&rollout.version));
         if number < self.acknowledged {
-            self.broken.push(format!(
-                "roll-out {:?} was acknowledged, {rollout:?} is read",
+            self.violations.push(format!(
+                "roll-out {:?} was acknowledged, but {rollout:?} is read back",
                 self.acknowledged
             ));
         }
@@ -110,12 +111,12 @@
             && before.version == rollout.version
             && before.stage != rollout.stage
         {
-            self.broken.push(format!("decided as {before:?}, then {rollout:?}"));
+            self.violations.push(format!("decided as {before:?}, then changed to {rollout:?}"));
         }
         let is_decided =
             matches!(rollout.stage, RolloutStage::Completed | RolloutStage::RolledBack);
         if rollout.stage == RolloutStage::Completed {
-            self.broken.push(format!("{rollout:?} has no backend servers"));
+            self.violations.push(format!("{rollout:?} is completed without backend servers"));
         }
         if is_decided {
             self.decided = Some(rollout);
@@ -124,7 +125,7 @@
     }
 }
 
-/// States an intent and confirms it once; returns whether that was acknowledged.
+/// Submits an intent and confirms it once; returns whether control acknowledged it.
 async fn accept(api: &str, intent: &serde_json::Value) -> bool {
     let ask = Ask::post("/v1/intents", intent.to_string());
     let planned = ask_control(api, &ask).await.filter(|answer| answer.status == 201);
@@ -134,7 +135,7 @@
     ask_control(api, &confirm).await.is_some_and(|answer| answer.status == 200)
 }
 
-/// Reads the roll-out of the service; `None` when the replica does not answer for sure.
+/// Reads the roll-out of the service; returns `None` if the replica gives no definite answer.
 async fn read(api: &str) -> Option<Option<Rollout>> {
     let answer = ask_control(api, &Ask::get("/v1/config")).await?;
     let reply: ConfigReply = serde_json::from_slice(&answer.body).ok()?;
