--- a/crates/cherrystream-bench/src/spread/after.rs
+++ b/crates/cherrystream-bench/src/spread/after.rs
@@ -154,7 +154,7 @@
             let (call, req) = self.hosts[host].heartbeat();
             let (replica, from) = (self.hosts[host].replica, self.node(host));
             let received = CHANGE_TIME.earlier(waited).unwrap_or_default();
-            self.replicas[replica].reach.hear(received, &req);
+            self.replicas[replica].daemons.record_heartbeat(received, &req);
             self.events.add(received + CALL_TIMEOUT, Event::CallTimeout { host, call });
             let pending =
                 PendingHeartbeat { replica, from, call, req, until: received + HEARTBEAT_WAIT };
@@ -196,7 +196,7 @@
         let Message { from, to, body, .. } = message;
         match body {
             Body::Sync { call, req } => {
-                self.replicas[to].reach.hear(now, &req);
+                self.replicas[to].daemons.record_heartbeat(now, &req);
                 let until = now + HEARTBEAT_WAIT;
                 let known = req.fetching.as_ref().map_or(req.held, |f| f.id.to.max(req.held));
                 // No later change will end the wait.
--- a/crates/cherrystream-bench/src/spread/after/replica.rs
+++ b/crates/cherrystream-bench/src/spread/after/replica.rs
@@ -1,8 +1,8 @@
 //! A replica's interface to daemons, modelled on `control::rpc_server`.
 
 use super::ServedChunk;
+use cherrystream_control::daemon_registry::DaemonRegistry;
 use cherrystream_control::distribution::{Distribution, Lacking};
-use cherrystream_control::reach::Reach;
 use cherrystream_core::state::ControlState;
 use cherrystream_core::units::Timestamp;
 use cherrystream_schema::messages::{ChunkRequest, SyncReply, SyncRequest};
@@ -15,7 +15,7 @@
 /// A replica.
 pub struct Replica {
     /// Daemons that send heartbeats to this replica.
-    pub reach: Reach,
+    pub daemons: DaemonRegistry,
     distribution: Distribution,
     failure_domain: String,
 }
@@ -25,7 +25,7 @@
     pub fn new(domain: usize) -> Replica {
         let failure_domain = format!("domain-{domain}");
         Replica {
-            reach: Reach::default(),
+            daemons: DaemonRegistry::default(),
             distribution: Distribution::new(&failure_domain),
             failure_domain,
         }
@@ -39,7 +39,7 @@
         req: &SyncRequest,
         until: Timestamp,
     ) -> Option<SyncReply> {
-        let lacking = self.distribution.lacking(now, state, req, &self.reach);
+        let lacking = self.distribution.lacking(now, state, req, &self.daemons);
         let waits = match lacking {
             Lacking::Later => true,
             Lacking::Nothing => req.fetching.is_some(),
--- a/crates/cherrystream-control/src/role.rs
+++ b/crates/cherrystream-control/src/role.rs
@@ -1,19 +1,19 @@
 //! Puts the parts of the control role together.
 
 use crate::api::{Api, Operator};
-use crate::arrivals::Arrivals;
+use crate::daemon_registry::DaemonRegistry;
 use crate::distribution::Distribution;
 use crate::driver;
 use crate::errors::{self, Error, Result};
 use crate::folder::DiskFolder;
 use crate::handle::{Event, Handle};
+use crate::incoming_transfers::IncomingTransfers;
+use crate::member_slot::{self, FindContext, MemberSlot};
 use crate::metrics::Metrics;
 use crate::operators::Operators;
 use crate::orders::Orders;
 use crate::peers::Peers;
-use crate::place::{self, Finder, Place};
 use crate::platform;
-use crate::reach::Reach;
 use crate::registrar::Registrar;
 use crate::release;
 use crate::rollouts::{self, Rollouts};
@@ -89,7 +89,7 @@
             };
             asking.spawn(ask_to_be_heard(handle.clone(), request, cx.key.clone()));
         }
-        let reach = Arc::new(Reach::default());
+        let reach = Arc::new(DaemonRegistry::default());
         // Calls have connections of their own, so that no message of the log waits behind an order.
         let lines = lines.into_iter().map(|(id, line)| (id, Arc::new(line.sibling())));
         let lines = Arc::new(lines.collect::<BTreeMap<_, _>>());
@@ -102,7 +102,7 @@
             handle: handle.clone(),
             lines,
             reach,
-            arrivals: Arrivals::new(handle.events.clone()),
+            arrivals: IncomingTransfers::new(handle.events.clone()),
             distribution: Arc::new(Distribution::new(&cx.failure_domain)),
             registrar: Registrar::start(&operators, cx.metrics.clone()),
             rollouts: Rollouts::new(rollout_limits(settings)),
@@ -186,7 +186,7 @@
         let addresses = handle.known_addresses();
         turn += 1;
         let Some(address) = addresses.get(turn % addresses.len().max(1)) else { continue };
-        let reply = place::ask(address, &request, key.as_ref()).await;
+        let reply = member_slot::request(address, &request, key.as_ref()).await;
         if reply.is_some_and(|reply| reply.place_lost) {
             let _ = handle.events.send(Event::Replaced);
         }
@@ -197,10 +197,13 @@
     settings: &ControlSettings,
     cx: &Context,
     folder: &DiskFolder,
-) -> Result<Place> {
-    let finder =
-        Finder { failure_domain: &cx.failure_domain, key: cx.key.as_ref(), metrics: &cx.metrics };
-    place::find(settings, folder, &finder).await
+) -> Result<MemberSlot> {
+    let finder = FindContext {
+        failure_domain: &cx.failure_domain,
+        key: cx.key.as_ref(),
+        metrics: &cx.metrics,
+    };
+    member_slot::find(settings, folder, &finder).await
 }
 
 fn rollout_limits(settings: &ControlSettings) -> Limits {
