--- a/crates/cherrystream-bench/src/spread/after/replica.rs
+++ b/crates/cherrystream-bench/src/spread/after/replica.rs
@@ -1,6 +1,6 @@
-//! A replica as daemons see it, after `control::rpc_server`.
+//! A replica's interface to daemons, modelled on `control::rpc_server`.
 
-use super::Served;
+use super::ServedChunk;
 use cherrystream_control::daemon_registry::DaemonRegistry;
 use cherrystream_control::distribution::{Distribution, PendingUpdate};
 use cherrystream_core::state::ControlState;
@@ -9,13 +9,13 @@
 use parking_lot::RwLock;
 use std::time::Duration;
 
-/// Time between looks at whether a daemon may have now what another one is fetching, as in control.
-pub const LOOK_AGAIN: Duration = Duration::from_millis(80);
+/// Interval of checking whether an update that other daemons fetch may be offered, as in control.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(80);
 
 /// A replica.
 pub struct Replica {
-    /// The daemons that it hears.
-    pub reach: DaemonRegistry,
+    /// Daemons that send heartbeats to this replica.
+    pub daemons: DaemonRegistry,
     distribution: Distribution,
     failure_domain: String,
 }
@@ -25,27 +25,27 @@
     pub fn new(domain: usize) -> Replica {
         let failure_domain = format!("domain-{domain}");
         Replica {
-            reach: DaemonRegistry::default(),
+            daemons: DaemonRegistry::default(),
             distribution: Distribution::new(&failure_domain),
             failure_domain,
         }
     }
 
-    /// Returns the answer to a heartbeat, or `None` where it is to wait a little.
-    pub fn look(
+    /// Returns the answer to a heartbeat, or `None` if it should wait and be polled again.
+    pub fn poll(
         &self,
         now: Timestamp,
         state: &RwLock<ControlState>,
         req: &SyncRequest,
         until: Timestamp,
     ) -> Option<SyncReply> {
-        let pending = self.distribution.pending_update(now, state, req, &self.reach);
+        let pending = self.distribution.pending_update(now, state, req, &self.daemons);
         let waits = match pending {
             PendingUpdate::Later => true,
             PendingUpdate::Nothing => req.fetching.is_some(),
             PendingUpdate::Short(_) | PendingUpdate::Long(_) => false,
         };
-        if waits && now + LOOK_AGAIN <= until {
+        if waits && now + POLL_INTERVAL <= until {
             return None;
         }
         let (update, offer) = match pending {
@@ -65,8 +65,8 @@
         })
     }
 
-    /// Returns the chunk that a daemon asks for.
-    pub fn chunk(&self, now: Timestamp, req: &ChunkRequest) -> Served {
-        Served::by_control(&self.distribution.chunk(now, req))
+    /// Returns the chunk that a daemon requests.
+    pub fn chunk(&self, now: Timestamp, req: &ChunkRequest) -> ServedChunk {
+        ServedChunk::from_control_reply(&self.distribution.chunk(now, req))
     }
 }
