--- a/crates/cherrystream-control/src/registrar.rs
+++ b/crates/cherrystream-control/src/registrar.rs
@@ -4,7 +4,7 @@
 use crate::handle::{Handle, NoResult};
 use crate::metrics::Metrics;
 use crate::operators::Operators;
-use crate::peers::Line;
+use crate::peers::ReplicaConnection;
 use cherrystream_net::rpc::{self, ControlRpcClient};
 use cherrystream_schema::messages::{Change, Command};
 use jsonrpsee::types::ErrorObjectOwned;
@@ -28,7 +28,7 @@
     pub fn start(operators: &Operators, metrics: Metrics) -> Registrar {
         let leader = LeaderClient {
             handle: operators.handle.clone(),
-            lines: operators.lines.clone(),
+            connections: operators.connections.clone(),
             metrics,
         };
         let registrations = CallBatcher::start(move |changes: Vec<Vec<Change>>| {
@@ -69,7 +69,7 @@
 #[derive(Clone)]
 struct LeaderClient {
     handle: Handle,
-    lines: Arc<BTreeMap<u64, Arc<Line>>>,
+    connections: Arc<BTreeMap<u64, Arc<ReplicaConnection>>>,
     metrics: Metrics,
 }
 
@@ -77,10 +77,10 @@
     /// Commits changes through the leader. Fails at once when the leader changes.
     async fn share(&self, changes: Vec<Change>) -> Result<(), ErrorObjectOwned> {
         let leader = self.known_leader().await;
-        let mut standing = self.handle.standing.clone();
+        let mut status = self.handle.status.clone();
         tokio::select! {
             shared = self.share_now(changes) => shared,
-            _ = standing.wait_for(|now| now.leader != leader) => {
+            _ = status.wait_for(|now| now.leader != leader) => {
                 self.metrics.refuse("no-quorum");
                 Err(rpc::unavailable("the leader has changed; send the same call again"))
             }
@@ -88,10 +88,10 @@
     }
 
     async fn known_leader(&self) -> Option<u64> {
-        let mut standing = self.handle.standing.clone();
-        let known = standing.wait_for(|standing| standing.leader.is_some());
+        let mut status = self.handle.status.clone();
+        let known = status.wait_for(|status| status.leader.is_some());
         match tokio::time::timeout(LEADER_TIMEOUT, known).await {
-            Ok(Ok(standing)) => standing.leader,
+            Ok(Ok(status)) => status.leader,
             _ => None,
         }
     }
@@ -100,8 +100,8 @@
         match self.handle.propose(Command::ShareAll { changes: changes.clone() }).await {
             Ok(_) => Ok(()),
             Err(NoResult::NotLeader { leader: Some(leader) }) => {
-                let line = self.lines.get(&leader).ok_or_else(|| self.not_leader())?;
-                let client = line.client().await.ok_or_else(|| self.not_leader())?;
+                let connection = self.connections.get(&leader).ok_or_else(|| self.not_leader())?;
+                let client = connection.client().await.ok_or_else(|| self.not_leader())?;
                 client.share(changes).await.map_err(|e| rpc::unavailable(&e.to_string()))
             }
             Err(NoResult::NotLeader { leader: None }) => Err(self.not_leader()),
--- a/crates/cherrystream-daemon/src/instances.rs
+++ b/crates/cherrystream-daemon/src/instances.rs
@@ -5,7 +5,7 @@
 use cherrystream_core::units::Revision;
 use cherrystream_net::body::{self, Body, Start};
 use cherrystream_net::interface::{
-    BadReport, CallInterface, Fault, Misreport, ReportAnswer, Reported,
+    CallInterface, Fault, ReportAnswer, ReportError, ReportErrorKind, Reported,
 };
 use cherrystream_schema::messages::{Instance, InstanceRecord, VersionTally};
 use http::{Request, Response};
@@ -95,7 +95,7 @@
                 what: "the body of the report is incomplete or too large".into(),
                 remedy: "send the whole report again, at most 64 KiB long".into(),
             };
-            return self.reject(BadReport { kind: Misreport::Unreadable, fault });
+            return self.reject(ReportError { kind: ReportErrorKind::Unreadable, fault });
         };
         let read = self.interface.read_report(&head, &bytes);
         match read {
@@ -106,7 +106,7 @@
 
     /// Checks that the configuration holds the service of a report: any other would replace the
     /// registered instance.
-    fn check_service(&self, report: &InstanceReport) -> Result<(), BadReport> {
+    fn check_service(&self, report: &InstanceReport) -> Result<(), ReportError> {
         let unknown = match report {
             InstanceReport::Running(instance) => {
                 Some(&instance.service).filter(|name| !self.local_servers.may_exist(name))
@@ -120,10 +120,10 @@
                 "correct the name of the service, or add it to the configuration and report again"
                     .into(),
         };
-        Err(BadReport { kind: Misreport::UnknownService, fault })
+        Err(ReportError { kind: ReportErrorKind::UnknownService, fault })
     }
 
-    fn reject(&self, bad: BadReport) -> ReportAnswer {
+    fn reject(&self, bad: ReportError) -> ReportAnswer {
         self.local_servers.on_bad_report(&bad);
         ReportAnswer::Bad(bad.fault)
     }
--- a/crates/cherrystream-daemon/src/local_server.rs
+++ b/crates/cherrystream-daemon/src/local_server.rs
@@ -18,7 +18,7 @@
 use cherrystream_core::suspects::CrashDetector;
 use cherrystream_core::units::Timestamp;
 use cherrystream_net::clock::Clock;
-use cherrystream_net::interface::{HealthWord, ServerLoad};
+use cherrystream_net::interface::{HealthResponse, ServerLoad};
 use cherrystream_net::pool::Pool;
 use cherrystream_schema::messages::{Report, ServerState, VersionTally};
 use parking_lot::{Mutex, MutexGuard};
@@ -289,7 +289,7 @@
     }
 
     /// Handles a response of the health endpoint. The response of another instance is ignored.
-    pub fn on_health_response(&self, res: &HealthWord) {
+    pub fn on_health_response(&self, res: &HealthResponse) {
         let is_other = res.instance.as_ref().is_some_and(|name| **name != *self.id.name);
         if let Some(cold_for) = res.cold_for.filter(|_| !is_other) {
             self.inner.lock().admission.warmth().on_health_response(self.clock.now(), cold_for);
--- a/crates/cherrystream-daemon/src/local_servers.rs
+++ b/crates/cherrystream-daemon/src/local_servers.rs
@@ -9,7 +9,7 @@
 use cherrystream_core::health::Check;
 use cherrystream_core::rollout;
 use cherrystream_net::clock::Clock;
-use cherrystream_net::interface::{BadReport, Fault, Misreport};
+use cherrystream_net::interface::{Fault, ReportError, ReportErrorKind};
 use cherrystream_net::pool::Pool;
 use cherrystream_schema::messages::{BackendServer, Instance, ServerState};
 use cherrystream_schema::settings::RoomKind;
@@ -56,7 +56,7 @@
     /// another lock.
     services: RwLock<Option<BTreeSet<String>>>,
     /// Kinds of bad reports that were logged. Never locked together with another lock.
-    logged_misreports: Mutex<BTreeSet<Misreport>>,
+    logged_misreports: Mutex<BTreeSet<ReportErrorKind>>,
     /// The instance that reports itself to this daemon.
     instance: RwLock<Option<CurrentInstance>>,
 }
@@ -245,7 +245,7 @@
     }
 
     /// Counts a rejected report, and logs the first one of each kind.
-    pub fn on_bad_report(&self, bad: &BadReport) {
+    pub fn on_bad_report(&self, bad: &ReportError) {
         let kind = bad.kind;
         let label = metrics::ReasonLabel { reason: kind.as_str() };
         self.metrics.bad_reports.get_or_create(&label).inc();
--- a/crates/cherrystream-daemon/src/own_interface.rs
+++ b/crates/cherrystream-daemon/src/own_interface.rs
@@ -7,8 +7,8 @@
 use cherrystream_core::workspaces::ApiKey;
 use cherrystream_net::body::{self, Body};
 use cherrystream_net::interface::{
-    BadReport, CallInterface, CallerHead, Execution, Fault, HealthWord, Misreport, RefusalHead,
-    ReportAnswer, Reported, SendHead, ServerLoad,
+    CallInterface, CallerHead, Execution, Fault, HealthResponse, RefusalHead, ReportAnswer,
+    ReportError, ReportErrorKind, Reported, SendHead, ServerLoad,
 };
 use cherrystream_schema::messages::{ErrorReply, Instance};
 use http::{HeaderMap, HeaderName, Method, Response, StatusCode, header, request, response};
@@ -71,9 +71,9 @@
         None
     }
 
-    fn read_health(&self, head: &response::Parts) -> HealthWord {
+    fn read_health(&self, head: &response::Parts) -> HealthResponse {
         let instance = headers::text(&head.headers, &headers::SERVER).map(str::to_string);
-        HealthWord { instance, cold_for: read_cold(&head.headers) }
+        HealthResponse { instance, cold_for: read_cold(&head.headers) }
     }
 
     fn remove_answer_head(&self, _map: &mut HeaderMap) {}
@@ -91,20 +91,20 @@
         path == READINESS
     }
 
-    fn read_report(&self, head: &request::Parts, body: &[u8]) -> Result<Reported, BadReport> {
+    fn read_report(&self, head: &request::Parts, body: &[u8]) -> Result<Reported, ReportError> {
         let Some(id) = head.uri.path().strip_prefix(INSTANCES).filter(|id| !id.is_empty()) else {
             let fault = Fault {
                 what: format!("there is nothing at {}", head.uri.path()),
                 remedy: "use PUT or DELETE /v1/instances/ID".into(),
             };
-            return Err(BadReport { kind: Misreport::UnknownCall, fault });
+            return Err(ReportError { kind: ReportErrorKind::UnknownCall, fault });
         };
         if head.method == Method::DELETE {
             let report = InstanceReport::Stopping { id: id.into(), born_ms: None };
             return Ok(Reported { report, cold_for: None });
         }
-        let instance: Instance = serde_json::from_slice(body).map_err(|e| BadReport {
-            kind: Misreport::Unreadable,
+        let instance: Instance = serde_json::from_slice(body).map_err(|e| ReportError {
+            kind: ReportErrorKind::Unreadable,
             fault: Fault {
                 what: format!("the report cannot be read: {e}"),
                 remedy: "send id, service, address, slots, state and sequence".into(),
--- a/crates/cherrystream/src/replica.rs
+++ b/crates/cherrystream/src/replica.rs
@@ -5,7 +5,7 @@
 use cherrystream_control::errors::Error as ControlError;
 use cherrystream_control::metrics::Metrics;
 use cherrystream_control::role::{Context, Control};
-use cherrystream_net::interface::OrderInterface;
+use cherrystream_net::interface::OperatorInterface;
 use cherrystream_net::key::Secret;
 use cherrystream_net::serve::{Phase, Phases};
 use cherrystream_schema::settings::ControlSettings;
@@ -21,7 +21,7 @@
     /// Key that the system's processes share.
     pub key: Option<Secret>,
     /// Interface for operator commands.
-    pub orders: Option<Arc<dyn OrderInterface>>,
+    pub orders: Option<Arc<dyn OperatorInterface>>,
     /// Metrics, which continue over restarts of the role.
     pub metrics: Metrics,
 }
