--- a/crates/cherrystream-core/src/quota/mod.rs
+++ b/crates/cherrystream-core/src/quota/mod.rs
@@ -114,10 +114,13 @@
     /// Requests that wait for credits, or that ran without them since the last batch.
     pub requests: u32,
     /// Credits wanted for expected requests.
+    #[serde(rename = "ahead")]
     pub prefetch: u32,
     /// Whether the daemon took the allocator's recent deficit into account.
+    #[serde(rename = "knows")]
     pub deficit_considered: bool,
     /// Unused credits returned to the allocator.
+    #[serde(rename = "back")]
     pub unused: u32,
 }
 
@@ -136,11 +139,14 @@
         /// Number of credits; may be 0.
         credits: u32,
         /// Credits missing from the allocator's full bucket.
+        #[serde(rename = "lacking")]
         deficit: u32,
     },
     /// The quota is used up; a retry may succeed after this time in milliseconds.
+    #[serde(rename = "OverForMs")]
     RetryAfterMs(u32),
     /// The answering daemon is not an allocator of this workspace.
+    #[serde(rename = "NotHome")]
     NotAllocator,
 }
 
@@ -148,6 +154,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseReply {
     /// One answer per line.
+    #[serde(rename = "words")]
     pub answers: Vec<LeaseAnswer>,
 }
 
