--- a/crates/cherrystream-daemon/src/own_interface.rs
+++ b/crates/cherrystream-daemon/src/own_interface.rs
@@ -1,4 +1,4 @@
-//! The system's own interface to callers and backend servers.
+//! The default interface to callers and backend servers.
 
 use crate::headers;
 use crate::refusal;
@@ -14,14 +14,14 @@
 use http::{HeaderMap, HeaderName, Method, Response, StatusCode, header, request, response};
 use std::time::Duration;
 
-/// Path at which an instance reports; its identifier follows.
-const INSTANCES: &str = "/v1/instances/";
-/// Word before a key.
-const KEY_SCHEME: &str = "Bearer ";
-/// Path that asks for readiness.
-const READINESS: &str = "/readyz";
+/// Prefix of the path at which an instance reports; the identifier of the instance follows.
+const INSTANCES_PATH: &str = "/v1/instances/";
+/// Authentication scheme in front of an API key.
+const KEY_PREFIX: &str = "Bearer ";
+/// Path of the readiness probe.
+const READINESS_PATH: &str = "/readyz";
 
-/// The system's own interface.
+/// The default interface to callers and backend servers, with `cherrystream-` headers.
 #[derive(Debug, Default)]
 pub struct OwnInterface;
 
@@ -41,7 +41,7 @@
 
     fn write_caller_service(&self, _headers: &mut HeaderMap, _service: &str) {}
 
-    // All own headers are removed on the way.
+    // All headers of this interface are removed when the request is forwarded.
     fn remove_caller_head(&self, _map: &mut HeaderMap) {}
 
     fn remove_key(&self, map: &mut HeaderMap) {
@@ -73,7 +73,7 @@
 
     fn read_health(&self, head: &response::Parts) -> HealthWord {
         let instance = headers::text(&head.headers, &headers::SERVER).map(str::to_string);
-        HealthWord { instance, cold_for: read_cold(&head.headers) }
+        HealthWord { instance, cold_for: read_cold_time(&head.headers) }
     }
 
     fn remove_answer_head(&self, _map: &mut HeaderMap) {}
@@ -88,13 +88,14 @@
     }
 
     fn is_readiness(&self, path: &str) -> bool {
-        path == READINESS
+        path == READINESS_PATH
     }
 
     fn read_report(&self, head: &request::Parts, body: &[u8]) -> Result<Reported, BadReport> {
-        let Some(id) = head.uri.path().strip_prefix(INSTANCES).filter(|id| !id.is_empty()) else {
+        let Some(id) = head.uri.path().strip_prefix(INSTANCES_PATH).filter(|id| !id.is_empty())
+        else {
             let fault = Fault {
-                what: format!("there is nothing at {}", head.uri.path()),
+                what: format!("unknown path {}", head.uri.path()),
                 remedy: "use PUT or DELETE /v1/instances/ID".into(),
             };
             return Err(BadReport { kind: Misreport::UnknownCall, fault });
@@ -111,7 +112,7 @@
             },
         })?;
         let report = InstanceReport::Running(Instance { id: id.into(), ..instance });
-        Ok(Reported { report, cold_for: read_cold(&head.headers) })
+        Ok(Reported { report, cold_for: read_cold_time(&head.headers) })
     }
 
     fn write_report_answer(&self, answer: &ReportAnswer) -> Response<Body> {
@@ -120,8 +121,8 @@
             ReportAnswer::NotNow => (
                 StatusCode::SERVICE_UNAVAILABLE,
                 ErrorReply {
-                    error: "control does not confirm the report now".into(),
-                    remedy: "report again".into(),
+                    error: "control has not confirmed the report in time".into(),
+                    remedy: "send the report again".into(),
                 },
             ),
             ReportAnswer::Bad(fault) => (
@@ -135,14 +136,15 @@
     }
 }
 
-/// Reads the key of a request that bears exactly one: two could mean two callers to two readers.
+/// Returns the API key of a request with exactly one `Authorization` header; several are ambiguous,
+/// as another reader might choose a different one.
 fn read_key(map: &HeaderMap) -> Option<ApiKey> {
     let mut values = map.get_all(header::AUTHORIZATION).iter();
     let value = values.next().filter(|_| values.next().is_none())?;
-    value.to_str().ok()?.strip_prefix(KEY_SCHEME).map(|key| ApiKey::new(key.trim()))
+    value.to_str().ok()?.strip_prefix(KEY_PREFIX).map(|key| ApiKey::new(key.trim()))
 }
 
-/// Reads how much longer a backend server is cold.
-fn read_cold(map: &HeaderMap) -> Option<Duration> {
+/// Returns for how much longer a backend server is cold.
+fn read_cold_time(map: &HeaderMap) -> Option<Duration> {
     headers::parsed(map, &headers::COLD_MS).map(Duration::from_millis)
 }
--- a/crates/cherrystream-daemon/src/peer.rs
+++ b/crates/cherrystream-daemon/src/peer.rs
@@ -1,4 +1,4 @@
-//! Kept HTTP/2 connections to the daemons of other hosts.
+//! Persistent HTTP/2 connections to the daemons of other hosts.
 
 use crate::metrics::Metrics;
 use cherrystream_net::body::{self, Body};
@@ -14,19 +14,19 @@
 use tokio::net::TcpStream;
 use tokio::sync::Mutex;
 
-/// Longest time for a connection to be made.
+/// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time between signs of life on a connection with calls on it.
+/// Interval of HTTP/2 pings on a connection with open streams.
 const PING_INTERVAL: Duration = Duration::from_secs(2);
-/// Longest wait for the answer to a sign of life.
+/// Timeout of the reply to a ping.
 const PING_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why a peer gave no answer.
+/// Why a peer returned no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoAnswer {
-    /// The peer did not begin to work on the request and never will.
+    /// The peer has not started to process the request and never will.
     NotSent,
-    /// The request may have reached the peer.
+    /// The connection broke; the peer may have processed the request.
     Broke,
 }
 
@@ -46,7 +46,8 @@
     ///
     /// # Errors
     ///
-    /// Fails when no answer comes, and tells whether the peer may work on the request.
+    /// Fails when no response arrives; the error says whether the peer may have processed the
+    /// request.
     pub async fn send(
         &self,
         address: &str,
@@ -56,14 +57,15 @@
         line.send(req).await
     }
 
-    /// Returns a connection to the daemon at an address; nothing is sent of any request until it is used.
+    /// Returns a connection to the daemon at an address, without sending a request. Returns `None`
+    /// when the daemon is unreachable.
     pub async fn line(&self, address: &str) -> Option<Line> {
         let peer = self.peer(address);
         let sender = peer.sender(&self.metrics).await?;
         Some(Line { peer, sender })
     }
 
-    /// Drops the connections to addresses that are no longer in use.
+    /// Closes the connections to addresses that are no longer in use.
     pub fn keep_only(&self, used: impl Fn(&str) -> bool) {
         self.by_address.write().retain(|address, _| used(address));
     }
@@ -88,22 +90,23 @@
     ///
     /// # Errors
     ///
-    /// Fails when no answer comes, and tells whether the peer may work on the request.
+    /// Fails when no response arrives; the error says whether the peer may have processed the
+    /// request.
     pub async fn send(mut self, req: Request<Body>) -> Result<Response<Body>, NoAnswer> {
         match self.sender.try_send_request(req).await {
             Ok(res) => Ok(res.map(body::incoming)),
             Err(mut e) => {
                 let unsent = e.take_message().is_some();
                 let e = e.into_error();
-                self.peer.forget_if_closed().await;
-                Err(if unsent || never_begun(&e) { NoAnswer::NotSent } else { NoAnswer::Broke })
+                self.peer.discard_if_closed().await;
+                Err(if unsent || is_unprocessed(&e) { NoAnswer::NotSent } else { NoAnswer::Broke })
             }
         }
     }
 }
 
-/// Returns whether the peer said that it did not begin to work on the stream.
-fn never_begun(e: &hyper::Error) -> bool {
+/// Returns whether the peer reported that it did not process the stream.
+fn is_unprocessed(e: &hyper::Error) -> bool {
     let mut source = e.source();
     while let Some(inner) = source {
         if let Some(h2) = inner.downcast_ref::<h2::Error>() {
@@ -118,7 +121,7 @@
 struct Peer {
     address: String,
     sender: RwLock<Option<SendRequest<Body>>>,
-    /// Taken by the caller that connects; holds when the last one failed.
+    /// Locked while a caller connects; contains the time of the last failure.
     connecting: Mutex<Option<Instant>>,
 }
 
@@ -128,27 +131,27 @@
         Peer { address: address.into(), sender, connecting }
     }
 
-    fn kept(&self) -> Option<SendRequest<Body>> {
+    fn open_sender(&self) -> Option<SendRequest<Body>> {
         self.sender.read().as_ref().filter(|s| !s.is_closed()).cloned()
     }
 
     async fn sender(&self, metrics: &Metrics) -> Option<SendRequest<Body>> {
-        if let Some(sender) = self.kept() {
+        if let Some(sender) = self.open_sender() {
             return Some(sender);
         }
-        // One caller connects, the others wait for it, and fail with it: one after the other, they would wait for a host
-        // that is dark until their deadlines.
-        let asked = Instant::now();
-        let mut failed = self.connecting.lock().await;
-        if let Some(sender) = self.kept() {
+        // One caller connects; the others wait for it and share its result. Connecting in turn,
+        // they would wait for an unreachable host until their deadlines.
+        let requested_at = Instant::now();
+        let mut last_failure = self.connecting.lock().await;
+        if let Some(sender) = self.open_sender() {
             return Some(sender);
         }
-        if failed.is_some_and(|at| at >= asked) {
+        if last_failure.is_some_and(|at| at >= requested_at) {
             return None;
         }
         let connected = tokio::time::timeout(CONNECT_TIMEOUT, connect(&self.address)).await;
         let Some(sender) = connected.ok().flatten() else {
-            *failed = Some(Instant::now());
+            *last_failure = Some(Instant::now());
             return None;
         };
         metrics.peer_connects.inc();
@@ -156,7 +159,7 @@
         Some(sender)
     }
 
-    async fn forget_if_closed(&self) {
+    async fn discard_if_closed(&self) {
         let mut sender = self.sender.write();
         if sender.as_ref().is_some_and(SendRequest::is_closed) {
             *sender = None;
@@ -173,7 +176,7 @@
         .initial_connection_window_size(CONNECTION_WINDOW)
         .keep_alive_interval(PING_INTERVAL)
         .keep_alive_timeout(PING_TIMEOUT)
-        // Answers to callers that have left may come late, in any number: they end no other request.
+        // Late responses to cancelled requests must not close the connection.
         .max_local_error_reset_streams(None)
         .handshake(TokioIo::new(stream))
         .await
--- a/crates/cherrystream-daemon/src/peer_server.rs
+++ b/crates/cherrystream-daemon/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! The port for the daemons of other hosts.
+//! Serves the requests of daemons of other hosts.
 
 use crate::headers::{self, Op};
 use crate::held::{Held, HeldCell};
@@ -29,45 +29,45 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Largest body of a question between daemons.
-const QUESTION_BYTES: usize = 64 * 1024;
+/// Largest body of a JSON request between daemons.
+const MAX_REQUEST_BYTES: usize = 64 * 1024;
 
-/// The port.
+/// Serves the requests of other daemons.
 #[derive(Clone)]
 pub struct PeerServer {
     /// The inbound of this host.
     pub inbound: Arc<Inbound>,
-    /// Quotas.
+    /// Quotas of the workspaces.
     pub quotas: Arc<Quotas>,
-    /// Requests that end backend servers.
+    /// Detection of requests that crash backend servers.
     pub suspects: Arc<SuspectWatch>,
-    /// Shared state held.
+    /// The current shared state.
     pub held: Arc<HeldCell>,
-    /// Encoded updates that other daemons may fetch here.
-    pub library: Arc<Mutex<UpdateCache>>,
-    /// Key of requests' fingerprints.
+    /// Cache of encoded updates that other daemons can fetch.
+    pub update_cache: Arc<Mutex<UpdateCache>>,
+    /// Key for the fingerprints of requests and callers.
     pub fingerprints: FingerprintKey,
-    /// Key of the system's own processes.
+    /// Key shared by the processes of the system.
     pub key: Option<Secret>,
-    /// The clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Metrics.
+    /// Metrics of the daemon.
     pub metrics: Metrics,
 }
 
-/// Header form of a claim.
+/// Header that carries the claim of an attempt.
 #[derive(Debug, Serialize, serde::Deserialize)]
 pub struct ClaimHeader {
-    /// Random number of the claim.
+    /// Random identifier of the claim.
     pub claim: u64,
-    /// Log index of the claim.
+    /// Index of the claim in the log of control.
     pub index: u64,
-    /// Incarnation that the attempt is meant for.
+    /// Incarnation of the daemon that the attempt is addressed to.
     pub incarnation: u64,
 }
 
 impl PeerServer {
-    /// Answers a request.
+    /// Handles a request of another daemon.
     pub async fn answer(&self, req: Request<Incoming>) -> Response<Body> {
         if !key::is_given(self.key.as_ref(), headers::text(req.headers(), &headers::KEY)) {
             self.metrics.wrong_keys.inc();
@@ -119,11 +119,12 @@
         let kind = aim.kind.into();
         let caller = aim.caller.map(Into::into);
         let workspace = aim.workspace.map(Into::into);
-        let mark = CallerFingerprint::new(&self.fingerprints, aim.workspace, aim.caller);
+        let caller_fingerprint =
+            CallerFingerprint::new(&self.fingerprints, aim.workspace, aim.caller);
         let claimed = read_claim(map, &service);
         headers::remove_own(&mut parts.headers);
         headers::set(&mut parts.headers, headers::ALLOWANCE, head.allowance);
-        // HTTP/2 carries the host name in the target; HTTP/1.1 wants it as a header.
+        // HTTP/2 carries the host name in the target; HTTP/1.1 requires a header.
         if let Some(authority) = parts.uri.authority() {
             headers::set(&mut parts.headers, header::HOST, authority);
         }
@@ -142,7 +143,10 @@
             selective: head.selective,
             good_for: head.good_us.map(Duration::from_micros),
             reservation: head.reservation,
-            identity: Identity { request: hop::read_fingerprint(head.request), caller: mark },
+            identity: Identity {
+                request: hop::read_fingerprint(head.request),
+                caller: caller_fingerprint,
+            },
             alone: head.alone,
             call: head.call,
             claimed,
@@ -151,10 +155,10 @@
     }
 
     async fn fence(&self, req: Request<Incoming>) -> Response<Body> {
-        let Some(question) = read_question::<FenceRequest>(req).await else {
+        let Some(fence) = read_json::<FenceRequest>(req).await else {
             return refusal::response(Refused::new(Reason::BadRequest));
         };
-        let fate = self.inbound.fence(&question);
+        let fate = self.inbound.fence(&fence);
         let mut res = match &fate.answer {
             Some(answer) => answer.response(),
             None => Response::new(body::empty()),
@@ -163,7 +167,7 @@
         res
     }
 
-    /// Answers a batch on quotas.
+    /// Handles a batch of lease requests.
     async fn quota(&self, req: Request<Incoming>) -> Response<Body> {
         let batch = quotas::read_bytes(body::incoming(req.into_body())).await;
         match batch.and_then(|batch| self.quotas.answer(&batch)) {
@@ -172,7 +176,7 @@
         }
     }
 
-    /// Answers a message on requests that end backend servers.
+    /// Handles a message about suspect requests.
     async fn suspects(&self, req: Request<Incoming>) -> Response<Body> {
         let message = suspects::read_bytes(body::incoming(req.into_body())).await;
         match message.and_then(|message| self.suspects.answer(&message)) {
@@ -181,31 +185,32 @@
         }
     }
 
-    /// Clears the request whose mark is asked for.
+    /// Clears the suspect request with the given fingerprint.
     async fn lift(&self, req: Request<Incoming>) -> Response<Body> {
-        let mark = read_question::<String>(req).await;
-        match mark.and_then(|mark| Fingerprint::read(&mark)) {
+        let fingerprint = read_json::<String>(req).await;
+        match fingerprint.and_then(|fingerprint| Fingerprint::read(&fingerprint)) {
             Some(request) => json(&LiftReply { lifted: self.suspects.lift(request) }),
             None => refusal::response(Refused::new(Reason::BadRequest)),
         }
     }
 
-    /// Offers the state that this daemon holds, to one that holds an older one.
+    /// Offers the state of this daemon to one with an older revision.
     fn fetch(&self, headers: &HeaderMap) -> Response<Body> {
-        let asker = headers::text(headers, &headers::REVISION).and_then(units::parse_revision);
+        let requester_revision =
+            headers::text(headers, &headers::REVISION).and_then(units::parse_revision);
         let held = self.held.get();
-        if held.revision <= asker.unwrap_or_default() {
-            return observe::plain(StatusCode::NOT_FOUND, "nothing newer is held here\n");
+        if held.revision <= requester_revision.unwrap_or_default() {
+            return observe::plain(StatusCode::NOT_FOUND, "there is no newer state here\n");
         }
-        let offer = Offer { id: self.whole(&held), first: None, peers: Vec::new() };
+        let offer = Offer { id: self.encode_full(&held), first: None, peers: Vec::new() };
         let text = serde_json::to_vec(&offer).unwrap_or_default();
         Response::new(body::full(text))
     }
 
-    /// Encodes the whole state held, unless that was done before.
-    fn whole(&self, held: &Held) -> StateId {
-        let mut library = self.library.lock();
-        let newest = library.furthest(Revision::default()).map(EncodedUpdate::id);
+    /// Returns the identity of the encoded full state; encodes it unless it is cached.
+    fn encode_full(&self, held: &Held) -> StateId {
+        let mut cache = self.update_cache.lock();
+        let newest = cache.furthest(Revision::default()).map(EncodedUpdate::id);
         if let Some(id) = newest.filter(|id| id.to == held.revision) {
             return id;
         }
@@ -213,25 +218,25 @@
         let update = Update { revision: held.revision, changes: Vec::new(), full };
         let encoded = EncodedUpdate::new(Revision::default(), &update);
         let id = encoded.id();
-        library.add(encoded);
+        cache.add(encoded);
         id
     }
 
-    /// Answers with a part of an update that this daemon fetched or offered.
+    /// Returns a chunk of an update that this daemon downloaded or offered.
     fn chunk(&self, headers: &HeaderMap) -> Response<Body> {
         let Some(req) = headers::json::<ChunkRequest>(headers, &headers::CHUNK) else {
             return refusal::response(Refused::new(Reason::BadRequest));
         };
-        let mut library = self.library.lock();
-        let known = library.get(&req.id);
-        match known.and_then(|known| known.chunk(req.offset, chunks::wanted(req.bytes))) {
+        let mut cache = self.update_cache.lock();
+        let update = cache.get(&req.id);
+        match update.and_then(|update| update.chunk(req.offset, chunks::wanted(req.bytes))) {
             Some(data) => Response::new(body::full(data.to_vec())),
-            None => observe::plain(StatusCode::NOT_FOUND, "this update is not held here\n"),
+            None => observe::plain(StatusCode::NOT_FOUND, "the update is not cached here\n"),
         }
     }
 }
 
-/// Reads the state from the answer to [`Op::Fence`].
+/// Reads the state of the attempt from the response to [`Op::Fence`].
 pub fn read_fate(res: &Response<Body>) -> AttemptState {
     headers::json(res.headers(), &headers::FATE).unwrap_or(AttemptState::Unknown)
 }
@@ -248,8 +253,8 @@
     Some((RequestKey { service: service.clone(), key }, claimed))
 }
 
-async fn read_question<T: serde::de::DeserializeOwned>(req: Request<Incoming>) -> Option<T> {
-    let read = body::read_start(body::incoming(req.into_body()), QUESTION_BYTES).await;
+async fn read_json<T: serde::de::DeserializeOwned>(req: Request<Incoming>) -> Option<T> {
+    let read = body::read_start(body::incoming(req.into_body()), MAX_REQUEST_BYTES).await;
     match read {
         Ok(Start::Whole(bytes)) => serde_json::from_slice(&bytes).ok(),
         _ => None,
--- a/crates/cherrystream-daemon/src/quotas.rs
+++ b/crates/cherrystream-daemon/src/quotas.rs
@@ -1,4 +1,5 @@
-//! Quotas over all hosts: decides on requests where they are read, and exchanges batches with the daemons of other hosts.
+//! Quotas shared by all hosts: decides on requests locally, and exchanges batches of lease requests
+//! with the daemons that allocate the quotas.
 
 use crate::headers::{self, Op};
 use crate::held::HeldCell;
@@ -27,48 +28,49 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Time between two looks at what is to be told: credits given back, and credits wanted in advance.
-const TELL_EVERY: Duration = Duration::from_millis(100);
-/// Longest wait for the answer to a batch: a home that stands still must not use up a caller's time.
-const ANSWER_WITHIN: Duration = Duration::from_millis(150);
-/// Longest time that a request waits to be decided on, with one home after the other asked.
-const DECIDED_WITHIN: Duration = Duration::from_millis(500);
-/// Largest batch, in bytes: a line for each of 1,000 workspaces.
-const BATCH_BYTES: usize = 64 * 1024;
+/// Interval at which pending batches are sent: returned credits, and credits needed in advance.
+const SEND_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout of the reply to a batch: a quota allocator that hangs must not use up the time that a
+/// caller waits.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(150);
+/// Longest time that a request waits for a decision, while one allocator after another is asked.
+const DECISION_TIMEOUT: Duration = Duration::from_millis(500);
+/// Largest batch, in bytes: an entry for each of 1,000 workspaces.
+const MAX_BATCH_BYTES: usize = 64 * 1024;
 
-/// Decides on requests.
+/// Decides whether requests are within the quotas of their workspaces.
 pub struct Quotas {
     policy: Mutex<Box<dyn Policy>>,
-    /// Told when an answer came.
+    /// Notified when a reply arrives.
     answered: Notify,
     own: Member,
-    /// What the policy was last told of the configuration.
-    told: Mutex<Told>,
+    /// Parts of the shared state that the policy was last given.
+    applied: Mutex<AppliedState>,
     log: Mutex<LogBudget>,
-    tools: Tools,
+    deps: Dependencies,
 }
 
-/// What the exchange of batches needs.
-pub struct Tools {
-    /// Shared state held.
+/// Dependencies of [`Quotas`].
+pub struct Dependencies {
+    /// The current shared state.
     pub held: Arc<HeldCell>,
     /// Connections to other daemons.
     pub peers: Arc<Peers>,
-    /// Key of the system's own processes.
+    /// Key shared by the processes of the system.
     pub key: Option<Secret>,
-    /// The clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Metrics.
+    /// Metrics of the daemon.
     pub metrics: Metrics,
 }
 
 #[derive(Default)]
-struct Told {
+struct AppliedState {
     routes: Option<Arc<RouteIndex>>,
     members: Vec<Member>,
 }
 
-/// Returns how far all daemons together may go beyond a quota.
+/// Returns by how much all daemons together may exceed a quota.
 pub fn tolerance(settings: &DaemonSettings) -> Tolerance {
     Tolerance {
         window: Duration::from_secs_f64(settings.quota_window_s),
@@ -78,49 +80,49 @@
 }
 
 impl Quotas {
-    /// Creates the quotas of the daemon on a host.
-    pub fn new(record: &HostRecord, tolerance: Tolerance, tools: Tools) -> Quotas {
+    /// Creates the quotas for the daemon on a host.
+    pub fn new(record: &HostRecord, tolerance: Tolerance, deps: Dependencies) -> Quotas {
         let own = member((&record.host, &record.failure_domain));
         let members = Members::new(own.clone(), []);
         Quotas {
             policy: Mutex::new(Box::new(Leases::new(tolerance, members))),
             answered: Notify::new(),
             own,
-            told: Mutex::default(),
+            applied: Mutex::default(),
             log: Mutex::default(),
-            tools,
+            deps,
         }
     }
 
-    /// Takes the state held: the daemons, and the quotas.
+    /// Applies the daemons and the quotas of a new shared state.
     pub fn set(&self, shared: &Shared, routes: Arc<RouteIndex>) {
-        let mut told = self.told.lock();
+        let mut applied = self.applied.lock();
         let mut policy = self.policy.lock();
-        if !told.routes.as_ref().is_some_and(|known| Arc::ptr_eq(known, &routes)) {
+        if !applied.routes.as_ref().is_some_and(|known| Arc::ptr_eq(known, &routes)) {
             policy.set_quotas(routes.workspaces().quotas().collect());
-            told.routes = Some(routes);
+            applied.routes = Some(routes);
         }
         // Most revisions change other things, and there may be many daemons.
-        if !told.members.iter().map(names).eq(sharing(shared)) {
-            told.members = sharing(shared).map(member).collect();
-            let members = Members::new(self.own.clone(), told.members.iter().cloned());
-            policy.set_members(self.tools.clock.now(), &members);
+        if !applied.members.iter().map(host_and_domain).eq(sharing_hosts(shared)) {
+            applied.members = sharing_hosts(shared).map(member).collect();
+            let members = Members::new(self.own.clone(), applied.members.iter().cloned());
+            policy.set_members(self.deps.clock.now(), &members);
         }
     }
 
-    /// Decides on a request of a workspace; returns its charge, where the workspace has a quota.
+    /// Decides on a request of a workspace; returns its charge if the workspace has a quota.
     ///
     /// # Errors
     ///
-    /// Fails when the workspace has sent as many requests as its quota allows.
+    /// Fails when the workspace has used up its quota.
     pub async fn admit(
         self: &Arc<Self>,
         workspace: &NamedWorkspace,
         id: Option<&str>,
     ) -> Result<Option<Charge>, Refused> {
         let Some(quota) = workspace.quota else { return Ok(None) };
-        let metrics = &self.tools.metrics.quotas;
-        let began = self.tools.clock.now();
+        let metrics = &self.deps.metrics.quotas;
+        let started = self.deps.clock.now();
         match self.decide(&workspace.name, quota).await {
             Ok(charge) => {
                 metrics.on_used(&workspace.name, charge.allocator.is_none());
@@ -128,7 +130,7 @@
             }
             Err(over) => {
                 metrics.on_refused(&workspace.name, over.answer_age);
-                self.log_refusal(workspace, id, &over, began);
+                self.log_refusal(workspace, id, &over, started);
                 Err(Refused { reason: Reason::OverQuota, retry_after: over.retry_after })
             }
         }
@@ -139,26 +141,26 @@
         workspace: &Arc<str>,
         quota: Quota,
     ) -> Result<Charge, OverQuota> {
-        let began = self.tools.clock.now();
-        let mut turn = Try::First;
+        let started = self.deps.clock.now();
+        let mut attempt = Try::First;
         loop {
-            // Listened for before the decision, or an answer that comes right after it would be missed.
+            // Subscribes before the decision, so that a reply right after it is not missed.
             let mut answered = std::pin::pin!(self.answered.notified());
             answered.as_mut().enable();
-            let now = self.tools.clock.now();
-            let verdict = self.policy.lock().admit(now, workspace, quota, turn);
-            match verdict {
+            let now = self.deps.clock.now();
+            let decision = self.policy.lock().admit(now, workspace, quota, attempt);
+            match decision {
                 Decision::Run(charge) => return Ok(charge),
                 Decision::Refuse(over) => return Err(over),
                 Decision::Wait => {}
             }
-            turn = Try::Again;
+            attempt = Try::Again;
             self.send_due();
-            let left = DECIDED_WITHIN.saturating_sub(now.since(began));
+            let left = DECISION_TIMEOUT.saturating_sub(now.since(started));
             if tokio::time::timeout(left, answered).await.is_err() {
-                let waited = self.tools.clock.now().since(began);
+                let waited = self.deps.clock.now().since(started);
                 return Err(OverQuota {
-                    retry_after: DECIDED_WITHIN,
+                    retry_after: DECISION_TIMEOUT,
                     answer_age: waited,
                     out_of_reach: true,
                 });
@@ -166,57 +168,57 @@
         }
     }
 
-    /// Takes back the charge of a request that was not run and never will be.
+    /// Refunds the charge of a request that was not run and never will be.
     pub fn give_back(&self, charge: &Charge) {
-        self.tools.metrics.quotas.on_given_back(&charge.workspace);
-        self.policy.lock().give_back(self.tools.clock.now(), charge);
+        self.deps.metrics.quotas.on_given_back(&charge.workspace);
+        self.policy.lock().give_back(self.deps.clock.now(), charge);
     }
 
-    /// Answers a batch of another daemon; `None` when it cannot be read.
+    /// Returns the reply to a batch of another daemon; `None` when it cannot be decoded.
     pub fn answer(&self, batch: &[u8]) -> Option<Vec<u8>> {
         let batch: LeaseBatch = postcard::from_bytes(batch).ok()?;
-        let reply = self.policy.lock().answer(self.tools.clock.now(), &batch);
-        self.tools.metrics.quotas.on_answer(&batch, &reply);
+        let reply = self.policy.lock().answer(self.deps.clock.now(), &batch);
+        self.deps.metrics.quotas.on_answer(&batch, &reply);
         postcard::to_stdvec(&reply).ok()
     }
 
-    /// Tells other daemons what is due, time and again.
+    /// Sends pending batches to other daemons at a fixed interval.
     pub async fn run(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(TELL_EVERY).await;
+            tokio::time::sleep(SEND_INTERVAL).await;
             self.send_due();
-            // The home may be on this host, and then no answer comes.
+            // The quota allocator may be on this host, and then no reply arrives.
             self.answered.notify_waiters();
         }
     }
 
     fn send_due(self: &Arc<Self>) {
-        let now = self.tools.clock.now();
+        let now = self.deps.clock.now();
         let batches = self.policy.lock().outgoing(now);
-        for (home, batch) in batches {
-            tokio::spawn(self.clone().exchange(now, home, batch));
+        for (allocator, batch) in batches {
+            tokio::spawn(self.clone().exchange(now, allocator, batch));
         }
     }
 
-    async fn exchange(self: Arc<Self>, sent: Timestamp, home: Arc<str>, batch: LeaseBatch) {
-        let asked = tokio::time::timeout(ANSWER_WITHIN, self.ask(&home, &batch)).await;
-        let reply = asked.ok().flatten();
-        self.tools.metrics.quotas.on_letter(reply.is_some());
-        let now = self.tools.clock.now();
+    async fn exchange(self: Arc<Self>, sent: Timestamp, allocator: Arc<str>, batch: LeaseBatch) {
+        let reply = tokio::time::timeout(REPLY_TIMEOUT, self.ask(&allocator, &batch)).await;
+        let reply = reply.ok().flatten();
+        self.deps.metrics.quotas.on_letter(reply.is_some());
+        let now = self.deps.clock.now();
         if reply.is_none()
             && let Some(dropped) = self.log.lock().take(now, true)
         {
-            log::info!("quota: home={home} outcome=no-answer lines_dropped={dropped}");
+            log::info!("quota: home={allocator} outcome=no-answer lines_dropped={dropped}");
         }
-        self.policy.lock().on_reply(now, sent, &home, &batch, reply.as_ref());
+        self.policy.lock().on_reply(now, sent, &allocator, &batch, reply.as_ref());
         self.answered.notify_waiters();
     }
 
-    async fn ask(&self, home: &Arc<str>, batch: &LeaseBatch) -> Option<LeaseReply> {
-        let held = self.tools.held.get();
-        let address = &held.shared.hosts.get(&**home)?.peer_address;
-        let req = request(address, batch, self.tools.key.as_ref())?;
-        let res = self.tools.peers.send(address, req).await.ok()?;
+    async fn ask(&self, allocator: &Arc<str>, batch: &LeaseBatch) -> Option<LeaseReply> {
+        let held = self.deps.held.get();
+        let address = &held.shared.hosts.get(&**allocator)?.peer_address;
+        let req = request(address, batch, self.deps.key.as_ref())?;
+        let res = self.deps.peers.send(address, req).await.ok()?;
         if !res.status().is_success() {
             return None;
         }
@@ -228,9 +230,9 @@
         workspace: &NamedWorkspace,
         id: Option<&str>,
         over: &OverQuota,
-        began: Timestamp,
+        started: Timestamp,
     ) {
-        let now = self.tools.clock.now();
+        let now = self.deps.clock.now();
         let Some(dropped) = self.log.lock().take(now, true) else { return };
         let (per_second, burst) = workspace.quota.map_or((0.0, 0.0), |q| (q.per_second, q.burst));
         log::info!(
@@ -241,7 +243,7 @@
             over.retry_after.as_millis(),
             over.answer_age.as_millis(),
             over.out_of_reach,
-            now.since(began).as_millis(),
+            now.since(started).as_millis(),
         );
     }
 }
@@ -258,7 +260,7 @@
 
 /// Reads a whole body.
 pub async fn read_bytes(body: Body) -> Option<Vec<u8>> {
-    match body::read_start(body, BATCH_BYTES).await {
+    match body::read_start(body, MAX_BATCH_BYTES).await {
         Ok(Start::Whole(bytes)) => Some(bytes.to_vec()),
         _ => None,
     }
@@ -272,13 +274,13 @@
     Member { host: host.into(), domain: domain.into() }
 }
 
-fn names(member: &Member) -> (&str, &str) {
+fn host_and_domain(member: &Member) -> (&str, &str) {
     (&member.host, &member.domain)
 }
 
-/// Returns the daemons that share the quotas, each with its failure domain. Those that leave still serve, but lend
-/// nothing any more.
-fn sharing(shared: &Shared) -> impl Iterator<Item = (&str, &str)> {
-    let staying = shared.hosts.values().filter(|host| !host.leaving);
-    staying.map(|host| (host.host.as_str(), host.failure_domain.as_str()))
+/// Returns the hosts whose daemons share the quotas, each with its failure domain. A host that is
+/// leaving still serves, but grants no more leases.
+fn sharing_hosts(shared: &Shared) -> impl Iterator<Item = (&str, &str)> {
+    let remaining = shared.hosts.values().filter(|host| !host.leaving);
+    remaining.map(|host| (host.host.as_str(), host.failure_domain.as_str()))
 }
--- a/crates/cherrystream-daemon/src/role.rs
+++ b/crates/cherrystream-daemon/src/role.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of the daemon role together.
+//! Creates and starts the components of the daemon role.
 
 use crate::doors::{DoorOptions, Doors};
 use crate::errors::Result;
@@ -14,7 +14,7 @@
 use crate::quotas::{self, Quotas};
 use crate::request_log::RequestLog;
 use crate::suspects::{self, SuspectWatch};
-use crate::sync::{Downloads, Newer, Sync, Tools};
+use crate::sync::{self, Downloads, Newer, Sync};
 use cherrystream_core::attempts::{self, Attempts};
 use cherrystream_core::distribution::UpdateCache;
 use cherrystream_core::replica_choice::ReplicaChoice;
@@ -41,25 +41,26 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Bytes of encoded updates that other daemons may fetch here: twice a whole state with 14,000 routes.
-const LIBRARY_BYTES: u64 = 1 << 20;
+/// Size of the cache of encoded updates that other daemons can fetch: twice a full state with
+/// 14,000 routes.
+const UPDATE_CACHE_BYTES: u64 = 1 << 20;
 
-/// Tells the RPC addresses of the seeds that the settings name at that moment.
+/// Returns the RPC addresses of the seeds that the settings currently name.
 pub type SeedReader = Arc<dyn Fn() -> Option<Vec<String>> + Send + std::marker::Sync>;
 
-/// What the daemon role needs besides its settings.
+/// Dependencies of the daemon role besides its settings.
 pub struct Context {
     /// Phase of the process.
     pub phases: Phases,
-    /// Key of the system's own processes.
+    /// Key shared by the processes of the system.
     pub key: Option<Secret>,
     /// Interface to callers and backend servers.
     pub interface: Arc<dyn CallInterface>,
-    /// Reads the seeds again when control is lost.
+    /// Reads the seeds again when control is unreachable.
     pub reread: SeedReader,
-    /// Metrics.
+    /// Metrics of the daemon.
     pub metrics: Metrics,
-    /// Set once a configuration is held.
+    /// Set while the daemon has the configuration that it needs to serve.
     pub ready: Arc<AtomicBool>,
 }
 
@@ -76,7 +77,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when an address cannot be listened on.
+    /// Fails when a listener cannot be bound to its address.
     pub async fn start(all: &Settings, settings: &DaemonSettings, cx: Context) -> Result<Daemon> {
         let control = control_addresses(settings);
         let caller_listener = serve::listen(&settings.caller_address).await?;
@@ -89,7 +90,7 @@
         let newer = Arc::new(Newer::default());
         let routes_only = all.interface == Some(InterfaceKind::Platform);
         let doors = Arc::new(doors(&record, settings, &cx, clock));
-        let suspects = Arc::new(SuspectWatch::new(suspects::Tools {
+        let suspects = Arc::new(SuspectWatch::new(suspects::Dependencies {
             host: record.host.as_str().into(),
             doors: doors.clone(),
             held: held.clone(),
@@ -121,7 +122,7 @@
         let quotas = Arc::new(Quotas::new(
             &record,
             quotas::tolerance(settings),
-            quotas::Tools {
+            quotas::Dependencies {
                 held: held.clone(),
                 peers: peers.clone(),
                 key: cx.key.clone(),
@@ -160,10 +161,10 @@
             clock,
             metrics: cx.metrics.clone(),
         });
-        let library = Arc::new(Mutex::new(UpdateCache::new(LIBRARY_BYTES)));
-        let downloads = Arc::new(Downloads::new(Tools {
+        let update_cache = Arc::new(Mutex::new(UpdateCache::new(UPDATE_CACHE_BYTES)));
+        let downloads = Arc::new(Downloads::new(sync::Dependencies {
             held: held.clone(),
-            library: library.clone(),
+            update_cache: update_cache.clone(),
             peers: peers.clone(),
             record: record.clone(),
             key: cx.key.clone(),
@@ -179,7 +180,7 @@
                 record.incarnation,
             )),
             record,
-            reread: cx.reread,
+            read_seeds: cx.reread,
             fixed: settings.seeds.is_none(),
             instances: instances.clone(),
             routes_only,
@@ -187,16 +188,16 @@
             key: cx.key.clone(),
             peers,
             downloads: downloads.clone(),
-            told: Mutex::default(),
+            reported: Mutex::default(),
             clock,
             phases: cx.phases.clone(),
             ready: cx.ready.clone(),
             metrics: cx.metrics.clone(),
         });
-        // Subscribed before anything can be taken: a revision taken earlier would go unseen.
+        // Subscribes before any task can apply an update, so that no revision is missed.
         let revisions = held.subscribe();
-        tokio::spawn(put_in_force(revisions, held.clone(), outbound.clone(), inbound.clone()));
-        tokio::spawn(sync.clone().show_revisions(held.subscribe()));
+        tokio::spawn(apply_revisions(revisions, held.clone(), outbound.clone(), inbound.clone()));
+        tokio::spawn(sync.clone().publish_revisions(held.subscribe()));
         tokio::spawn(downloads.run());
         tokio::spawn(sync.clone().run());
         tokio::spawn(sync.follow_peers(newer));
@@ -212,7 +213,7 @@
             quotas,
             suspects,
             held: held.clone(),
-            library,
+            update_cache,
             fingerprints,
             key: cx.key,
             clock,
@@ -252,12 +253,12 @@
         &self.inbound
     }
 
-    /// Returns the shared state held.
+    /// Returns the current shared state.
     pub fn held(&self) -> &Arc<HeldCell> {
         &self.held
     }
 
-    /// Ends once the last answers are out. The phase must be closing by then.
+    /// Waits until the last responses are sent. The process must be in the closing phase.
     pub async fn stop(self) {
         let _ = self.callers.await;
         let _ = self.peers.await;
@@ -265,7 +266,7 @@
     }
 }
 
-/// Returns the RPC addresses of control to begin with.
+/// Returns the initial RPC addresses of control.
 fn control_addresses(settings: &DaemonSettings) -> Vec<String> {
     match &settings.seeds {
         Some(seeds) => seeds::rpc_addresses(seeds),
@@ -273,7 +274,7 @@
     }
 }
 
-/// Tells whether this daemon is to get work.
+/// Answers readiness probes.
 #[derive(Clone)]
 struct Readiness {
     interface: Arc<dyn CallInterface>,
@@ -284,7 +285,7 @@
 impl Readiness {
     fn answer(&self, path: &str) -> Response<Body> {
         if !self.interface.is_readiness(path) {
-            return observe::plain(StatusCode::NOT_FOUND, "only readiness is told here\n");
+            return observe::plain(StatusCode::NOT_FOUND, "only readiness is served here\n");
         }
         let serving = self.phases.now() == Phase::Serving;
         match serving && self.ready.load(Ordering::Relaxed) {
@@ -295,7 +296,7 @@
 }
 
 fn record(all: &Settings, settings: &DaemonSettings, listener: &TcpListener) -> HostRecord {
-    // Port 0 stands for any free port: the one that was given is told to the others.
+    // Port 0 selects any free port; the record announces the selected one.
     let local = listener.local_addr().map(|a| a.to_string());
     let local = local.unwrap_or_else(|_| settings.peer_address.clone());
     HostRecord {
@@ -320,8 +321,8 @@
     Doors::new(host, opts, clock, cx.interface.id_header(), cx.metrics.clone())
 }
 
-/// Puts each revision in force that is taken.
-async fn put_in_force(
+/// Applies each new revision to the inbound and outbound sides.
+async fn apply_revisions(
     mut revisions: watch::Receiver<Revision>,
     held: Arc<HeldCell>,
     outbound: Arc<Outbound>,
@@ -332,7 +333,7 @@
         let now = held.get();
         let is_evacuated = shared::is_evacuated(&now.shared, &inbound.host);
         if std::mem::replace(&mut was_evacuated, is_evacuated) && !is_evacuated {
-            // Its backend servers may have become cold while they got no work.
+            // The backend servers may have become cold without load.
             inbound.doors.doubt_warmth();
         }
         inbound.doors.set(&now);
--- a/crates/cherrystream-daemon/src/suspects/telling.rs
+++ b/crates/cherrystream-daemon/src/suspects/dissemination.rs
@@ -1,4 +1,4 @@
-//! Tells other daemons of requests that end backend servers, and takes what they tell.
+//! Exchanges records of requests that crash backend servers with other daemons.
 
 use super::SuspectWatch;
 use crate::headers::{self, Op};
@@ -10,44 +10,44 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two digests. A host that comes back after a cut is a partner of ten others in a fleet of 790, each of which comes
-/// round to it every 5 s: within 3 s it hears of all but one time in ten thousand.
-const DIGEST_EVERY: Duration = Duration::from_millis(500);
-/// Longest wait for the answer to a message.
-const ANSWER_WITHIN: Duration = Duration::from_millis(500);
-/// Time after which a message that was not answered is sent once more.
-const AGAIN_AFTER: Duration = Duration::from_millis(200);
-/// Largest message: a full table with a few ends each.
-const MESSAGE_BYTES: usize = 512 * 1024;
+/// Interval at which a digest is sent to one peer, in rotation, so that a host that was unreachable
+/// receives missed records within seconds.
+const DIGEST_INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout of the reply to a message.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay before the only retry of a message without a reply.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Largest message, in bytes: a full table with a few crashes per request.
+const MAX_MESSAGE_BYTES: usize = 512 * 1024;
 
 impl SuspectWatch {
-    /// Tells and asks other daemons, time and again.
+    /// Fetches the records of peers at the start, then compares digests with them in rotation.
     pub async fn run(self: Arc<Self>) {
-        self.ask_first().await;
+        self.fetch_initial().await;
         for round in 0.. {
-            tokio::time::sleep(DIGEST_EVERY).await;
+            tokio::time::sleep(DIGEST_INTERVAL).await;
             let mut table = self.table.lock();
-            table.expire(self.tools.clock.now());
-            let knows = table.has_wide_records();
+            table.expire(self.deps.clock.now());
+            let has_records = table.has_wide_records();
             drop(table);
-            self.show();
-            if knows {
-                let partners = self.partners();
-                let turn = partners.get(round % partners.len().max(1)).cloned();
-                tokio::spawn(self.clone().compare_with(turn.into_iter().collect()));
+            self.update_metrics();
+            if has_records {
+                let peers = self.peers();
+                let peer = peers.get(round % peers.len().max(1)).cloned();
+                tokio::spawn(self.clone().compare_with(peer.into_iter().collect()));
             }
         }
     }
 
-    /// Asks for what is known, once other daemons are.
-    async fn ask_first(self: &Arc<Self>) {
-        let mut revisions = self.tools.held.subscribe();
-        while self.partners().is_empty() {
+    /// Fetches the records of all peers as soon as there are peers.
+    async fn fetch_initial(self: &Arc<Self>) {
+        let mut revisions = self.deps.held.subscribe();
+        while self.peers().is_empty() {
             if revisions.changed().await.is_err() {
                 return;
             }
         }
-        tokio::spawn(self.clone().compare_with(self.partners()));
+        tokio::spawn(self.clone().compare_with(self.peers()));
     }
 
     async fn compare_with(self: Arc<Self>, addresses: Vec<String>) {
@@ -56,64 +56,68 @@
         }
     }
 
-    /// Compares what is known here with what another daemon knows; both know the same then.
+    /// Compares records with another daemon; each sends the other the records that it lacks.
     async fn compare(self: &Arc<Self>, address: &str) {
         let digest = Some(self.table.lock().digest());
-        let asked = Message { records: Vec::new(), digest };
-        let Some(told) = self.send(address, &asked).await else { return };
-        self.take(&told.records);
-        if told.digest == digest {
+        let request = Message { records: Vec::new(), digest };
+        let Some(reply) = self.send(address, &request).await else { return };
+        self.merge(&reply.records);
+        if reply.digest == digest {
             return;
         }
-        let known = self.table.lock().wide_records(self.tools.clock.now());
-        let lacks = |record: &Record| !told.records.iter().any(|other| says_same(record, other));
+        let known = self.table.lock().wide_records(self.deps.clock.now());
+        let lacks = |record: &Record| !reply.records.iter().any(|other| is_same(record, other));
         let records: Vec<Record> = known.into_iter().filter(lacks).collect();
         if !records.is_empty() {
             self.send(address, &Message { records, digest: None }).await;
         }
     }
 
-    /// Takes a message of another daemon; returns the answer, or `None` when it cannot be read.
+    /// Handles a message of another daemon; returns the reply, or `None` when it cannot be decoded.
     pub fn answer(self: &Arc<Self>, bytes: &[u8]) -> Option<Vec<u8>> {
         let message: Message = postcard::from_bytes(bytes).ok()?;
-        self.take(&message.records);
+        self.merge(&message.records);
         let table = self.table.lock();
         let digest = table.digest();
         let records = match message.digest {
-            Some(theirs) if theirs != digest => table.wide_records(self.tools.clock.now()),
+            Some(theirs) if theirs != digest => table.wide_records(self.deps.clock.now()),
             _ => Vec::new(),
         };
         drop(table);
         postcard::to_stdvec(&Message { records, digest: Some(digest) }).ok()
     }
 
-    /// Takes what another daemon tells, and passes on what is news to all.
-    fn take(self: &Arc<Self>, records: &[Record]) {
-        let now = self.tools.clock.now();
+    /// Merges records of another daemon, and forwards new ones that are meant for all daemons.
+    fn merge(self: &Arc<Self>, records: &[Record]) {
+        let now = self.deps.clock.now();
         let mut table = self.table.lock();
-        let news: Vec<Record> =
+        let changes: Vec<Record> =
             records.iter().filter(|record| table.on_record(now, record)).cloned().collect();
         drop(table);
-        let wide: Vec<Record> = news.into_iter().filter(|record| record.wide).collect();
+        let wide: Vec<Record> = changes.into_iter().filter(|record| record.wide).collect();
         if !wide.is_empty() {
-            self.send_to(self.partners(), wide);
+            self.send_to(self.peers(), wide);
         }
     }
 
-    /// Tells others of changes that began here, those beside the backend servers of the service first.
-    pub(super) fn tell(self: Arc<Self>, service: Option<Arc<str>>, news: Vec<(Audience, Record)>) {
-        let wide: Vec<Record> = news
+    /// Sends local changes to other daemons, first to those next to servers of the service.
+    pub(super) fn disseminate(
+        self: Arc<Self>,
+        service: Option<Arc<str>>,
+        changes: Vec<(Audience, Record)>,
+    ) {
+        let wide: Vec<Record> = changes
             .iter()
             .filter(|(audience, _)| *audience == Audience::All)
             .map(|(_, r)| r.clone())
             .collect();
-        let all: Vec<Record> = news.into_iter().map(|(_, record)| record).collect();
-        let of_service = service.map(|service| self.hosts_of(&service)).unwrap_or_default();
+        let all: Vec<Record> = changes.into_iter().map(|(_, record)| record).collect();
+        let service_hosts = service.map(|service| self.hosts_of(&service)).unwrap_or_default();
         if !all.is_empty() {
-            self.send_to(of_service, all);
+            self.send_to(service_hosts, all);
         }
         if !wide.is_empty() {
-            self.send_to(self.partners(), wide);
+            self.send_to(self.peers(), wide);
         }
     }
 
@@ -123,7 +127,7 @@
             let (watch, message) = (self.clone(), message.clone());
             tokio::spawn(async move {
                 if watch.send(&address, &message).await.is_none() {
-                    tokio::time::sleep(AGAIN_AFTER).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                     watch.send(&address, &message).await;
                 }
             });
@@ -131,9 +135,9 @@
     }
 
     async fn send(&self, address: &str, message: &Message) -> Option<Message> {
-        let answer = tokio::time::timeout(ANSWER_WITHIN, self.exchange(address, message)).await;
+        let answer = tokio::time::timeout(REPLY_TIMEOUT, self.exchange(address, message)).await;
         let answer = answer.ok().flatten();
-        self.tools.metrics.on_suspect_message(answer.is_some());
+        self.deps.metrics.on_suspect_message(answer.is_some());
         answer
     }
 
@@ -141,29 +145,29 @@
         let bytes = postcard::to_stdvec(message).ok()?;
         let mut req = Request::post(format!("http://{address}/")).body(body::full(bytes)).ok()?;
         headers::set_static(req.headers_mut(), headers::OP, Op::Suspects.as_str());
-        if let Some(key) = &self.tools.key {
+        if let Some(key) = &self.deps.key {
             headers::set(req.headers_mut(), headers::KEY, key.expose());
         }
-        let res = self.tools.peers.send(address, req).await.ok()?;
+        let res = self.deps.peers.send(address, req).await.ok()?;
         if !res.status().is_success() {
             return None;
         }
         postcard::from_bytes(&read_bytes(res.into_body()).await?).ok()
     }
 
-    /// Returns the addresses of the daemons that this one tells of what all are to know.
-    fn partners(&self) -> Vec<String> {
-        let hosts = &self.tools.held.get().shared.hosts;
-        let partners = ring::peers(hosts.keys().map(String::as_str), &self.tools.host);
-        let known = partners.into_iter().filter_map(|host| hosts.get(host));
+    /// Returns the addresses of the peers that this daemon sends records for all daemons to.
+    fn peers(&self) -> Vec<String> {
+        let hosts = &self.deps.held.get().shared.hosts;
+        let peers = ring::peers(hosts.keys().map(String::as_str), &self.deps.host);
+        let known = peers.into_iter().filter_map(|host| hosts.get(host));
         known.map(|host| host.peer_address.clone()).collect()
     }
 
-    /// Returns the addresses of the daemons with a backend server of a service, this one left out.
+    /// Returns the addresses of the other daemons with a backend server of a service.
     fn hosts_of(&self, service: &str) -> Vec<String> {
-        let held = self.tools.held.get();
+        let held = self.deps.held.get();
         let mut hosts = hosts_of(&held.shared, service);
-        hosts.remove(&*self.tools.host);
+        hosts.remove(&*self.deps.host);
         let known = hosts.iter().filter_map(|host| held.shared.hosts.get(*host));
         known.map(|host| host.peer_address.clone()).collect()
     }
@@ -178,17 +182,17 @@
     listed.chain(reported.map(|(host, _)| host.as_str())).collect()
 }
 
-/// Returns whether two records say the same; ages differ by the way of a message.
-fn says_same(one: &Record, other: &Record) -> bool {
+/// Returns whether two records have the same content, apart from ages.
+fn is_same(one: &Record, other: &Record) -> bool {
     let ends = |record: &Record| -> BTreeMap<_, _> {
         record.ends.iter().map(|end| (end.id, end.alone)).collect()
     };
     one.request == other.request && one.generation == other.generation && ends(one) == ends(other)
 }
 
-/// Reads a whole message.
+/// Reads the body of a message; `None` when it is too large or incomplete.
 pub async fn read_bytes(body: Body) -> Option<Vec<u8>> {
-    match body::read_start(body, MESSAGE_BYTES).await {
+    match body::read_start(body, MAX_MESSAGE_BYTES).await {
         Ok(Start::Whole(bytes)) => Some(bytes.to_vec()),
         _ => None,
     }
--- /dev/null
+++ b/crates/cherrystream-daemon/src/suspects/in_flight.rs
@@ -0,0 +1,175 @@
+//! Requests in flight at a backend server, and the check whether it has crashed.
+
+use super::SuspectWatch;
+use crate::door::Door;
+use cherrystream_core::suspects::crashes::Ticket;
+use cherrystream_core::suspects::{CrashId, Identity, SentRequest};
+use cherrystream_core::units::Timestamp;
+use cherrystream_net::pool::Probe;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Delays before the connection probes of a server. A process that exits closes its connections and
+/// its listener within milliseconds; the last probe is for a host that is short of processor time.
+const PROBE_DELAYS: [Duration; 3] =
+    [Duration::ZERO, Duration::from_millis(10), Duration::from_millis(100)];
+/// Interval of the checks whether another instance has replaced the server.
+const SUCCESSOR_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Permit for the one request that may run in isolation at a server; released on drop.
+pub struct AlonePlace {
+    door: Arc<Door>,
+}
+
+impl AlonePlace {
+    /// Acquires the permit, if it is free.
+    pub fn take(door: &Arc<Door>) -> Option<AlonePlace> {
+        let is_free = door.ends().begin_isolated();
+        is_free.then(|| AlonePlace { door: door.clone() })
+    }
+}
+
+impl Drop for AlonePlace {
+    fn drop(&mut self) {
+        self.door.ends().end_isolated();
+    }
+}
+
+/// A request in flight. Dropping it without an outcome records that its caller disconnected.
+pub struct AtWork {
+    watch: Arc<SuspectWatch>,
+    door: Arc<Door>,
+    sent: SentRequest,
+    sent_at: Timestamp,
+    ticket: Ticket,
+    is_settled: bool,
+    _permit: Option<AlonePlace>,
+}
+
+impl AtWork {
+    /// Records that a request is sent to the backend server.
+    pub fn begin(
+        watch: &Arc<SuspectWatch>,
+        door: &Arc<Door>,
+        identity: Identity,
+        permit: Option<AlonePlace>,
+    ) -> AtWork {
+        let sent_at = watch.deps.clock.now();
+        AtWork {
+            watch: watch.clone(),
+            door: door.clone(),
+            sent: SentRequest { identity, isolated: permit.is_some() },
+            sent_at,
+            ticket: door.ends().begin(sent_at),
+            is_settled: false,
+            _permit: permit,
+        }
+    }
+
+    /// Records a complete response. A failed one does not clear the request: it may have failed
+    /// before the point at which it would crash the server, as when a nested call fails.
+    pub fn answered(mut self, failed: bool) {
+        self.is_settled = true;
+        self.door.ends().on_answer(self.sent_at);
+        if !failed {
+            self.watch.on_answer(&self.door, self.sent.identity.request);
+        }
+    }
+
+    /// Records that the server did not run the request; the server or its successor is alive.
+    pub fn not_run(mut self) {
+        self.is_settled = true;
+        self.door.ends().on_answer(self.sent_at);
+    }
+
+    /// Discards the request: it was not sent, or the response belongs to another request.
+    pub fn proves_nothing(mut self) {
+        self.is_settled = true;
+    }
+
+    /// Records that the connection of the request broke.
+    pub fn broke(mut self) {
+        self.is_settled = true;
+        let now = self.watch.deps.clock.now();
+        self.door.ends().finish(self.ticket);
+        let crash = self.door.ends().on_connection_broken(now, self.sent_at, self.sent);
+        match crash {
+            Some(crash) if !self.watch.is_planned(&self.door) => {
+                self.watch.on_crash(&self.door, &crash);
+            }
+            Some(_) => {}
+            None => self.watch.look(&self.door),
+        }
+    }
+}
+
+impl Drop for AtWork {
+    fn drop(&mut self) {
+        self.door.ends().finish(self.ticket);
+        if !self.is_settled {
+            let now = self.watch.deps.clock.now();
+            self.door.ends().on_caller_disconnected(now, self.sent_at, self.sent);
+        }
+    }
+}
+
+impl SuspectWatch {
+    /// Checks in the background whether a backend server has crashed, if connections to it have
+    /// broken and no check is running.
+    pub fn look(self: &Arc<Self>, door: &Arc<Door>) {
+        if door.ends().begin_probe(self.deps.clock.now()) {
+            let (watch, door) = (self.clone(), door.clone());
+            tokio::spawn(async move {
+                if watch.has_crashed(&door).await {
+                    watch.on_crash_detected(&door);
+                }
+                door.ends().end_probe();
+            });
+        }
+    }
+
+    async fn has_crashed(&self, door: &Arc<Door>) -> bool {
+        let mut any_kept = false;
+        for delay in PROBE_DELAYS {
+            tokio::time::sleep(delay).await;
+            if !door.ends().has_unexplained(self.deps.clock.now()) {
+                return false;
+            }
+            let probe = door.backend.probe().await;
+            any_kept |= probe == Probe::Kept;
+            if probe == Probe::Refused && !door.ends().has_survivor() {
+                return true;
+            }
+        }
+        // A proxy in front of the server accepts connections while it is down, and closes them.
+        if !any_kept && !door.ends().has_survivor() {
+            return true;
+        }
+        while door.ends().has_unexplained(self.deps.clock.now()) {
+            if self.is_replaced(door) {
+                return true;
+            }
+            tokio::time::sleep(SUCCESSOR_CHECK_INTERVAL).await;
+        }
+        false
+    }
+
+    /// Returns whether another instance has replaced a backend server that reported itself.
+    fn is_replaced(&self, door: &Arc<Door>) -> bool {
+        let listed = self.deps.doors.listed().iter().any(|known| Arc::ptr_eq(known, door));
+        let instance = self.deps.doors.instance();
+        !listed && instance.is_some_and(|now| !Arc::ptr_eq(&now, door))
+    }
+
+    fn on_crash_detected(self: &Arc<Self>, door: &Arc<Door>) {
+        let now = self.deps.clock.now();
+        if self.is_planned(door) {
+            door.ends().on_planned_stop();
+            return;
+        }
+        let crash = door.ends().on_crash(now, CrashId(rand::random()));
+        if let Some(crash) = crash {
+            self.on_crash(door, &crash);
+        }
+    }
+}
--- a/crates/cherrystream-daemon/src/suspects/mod.rs
+++ b/crates/cherrystream-daemon/src/suspects/mod.rs
@@ -1,13 +1,14 @@
-//! Requests that end backend servers: finds out which, tells other daemons, and decides on requests by what is known.
+//! Detects requests that crash backend servers, and shares the records with other daemons.
 //!
-//! The door of a backend server is the only place that sees at once that it has ended and what was at work ([`at_work`]); what all
-//! doors saw is joined here, and told on ([`telling`]). Decisions and their reasons: [`cherrystream_core::suspects`].
+//! The daemon beside a backend server detects its crash and tracks the requests in flight
+//! ([`in_flight`]). Records of all local servers are merged here and sent to other daemons
+//! ([`dissemination`]). The rules for treating a request are in [`cherrystream_core::suspects`].
 
-mod at_work;
-mod telling;
+mod dissemination;
+mod in_flight;
 
-pub use at_work::{AlonePlace, AtWork};
-pub use telling::read_bytes;
+pub use dissemination::read_bytes;
+pub use in_flight::{AlonePlace, AtWork};
 
 use crate::door::Door;
 use crate::doors::Doors;
@@ -26,104 +27,105 @@
 use parking_lot::Mutex;
 use std::sync::Arc;
 
-/// What this daemon knows of requests that end backend servers. Its table is locked with no other lock.
+/// Records of requests that crash backend servers. The lock of the table is never held together
+/// with another lock.
 pub struct SuspectWatch {
     table: Mutex<Suspects>,
     log: Mutex<LogBudget>,
-    tools: Tools,
+    deps: Dependencies,
 }
 
-/// What the watch needs.
-pub struct Tools {
-    /// This host.
+/// Dependencies of [`SuspectWatch`].
+pub struct Dependencies {
+    /// Name of this host.
     pub host: Arc<str>,
-    /// Doors of this host.
+    /// Backend servers of this host.
     pub doors: Arc<Doors>,
-    /// Shared state held.
+    /// The current shared state.
     pub held: Arc<HeldCell>,
     /// Connections to other daemons.
     pub peers: Arc<Peers>,
-    /// Key of the system's own processes.
+    /// Key shared by the processes of the system.
     pub key: Option<Secret>,
     /// Phase of the process.
     pub phases: Phases,
-    /// The clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Metrics.
+    /// Metrics of the daemon.
     pub metrics: Metrics,
 }
 
 impl SuspectWatch {
-    /// Creates a watch that knows nothing.
-    pub fn new(tools: Tools) -> SuspectWatch {
-        SuspectWatch { table: Mutex::default(), log: Mutex::default(), tools }
+    /// Creates a watch without records.
+    pub fn new(deps: Dependencies) -> SuspectWatch {
+        SuspectWatch { table: Mutex::default(), log: Mutex::default(), deps }
     }
 
-    /// Returns what is done with a request.
+    /// Returns how a request is treated.
     pub fn judge(&self, request: Fingerprint) -> Treatment {
-        self.table.lock().treatment(self.tools.clock.now(), request)
+        self.table.lock().treatment(self.deps.clock.now(), request)
     }
 
-    /// Returns the requests under which backend servers ended.
+    /// Returns the requests that were in flight when backend servers crashed.
     pub fn list(&self) -> SuspectList {
-        SuspectList { suspects: self.table.lock().list(self.tools.clock.now()) }
+        SuspectList { suspects: self.table.lock().list(self.deps.clock.now()) }
     }
 
-    /// Clears a request, as an operator wants it; returns whether it was known.
+    /// Clears a request on behalf of an operator; returns whether there was a record of it.
     pub fn lift(self: &Arc<Self>, request: Fingerprint) -> bool {
-        let now = self.tools.clock.now();
-        let news = self.table.lock().clear(now, request);
-        let Some((_, record)) = news else { return false };
+        let now = self.deps.clock.now();
+        let changes = self.table.lock().clear(now, request);
+        let Some((_, record)) = changes else { return false };
         log::info!("suspect: mark={request} standing=clear by=operator");
-        // The operator may have asked a daemon of another service.
-        self.clone().tell(None, vec![(Audience::All, record)]);
+        // The service of the request is unknown here.
+        self.clone().disseminate(None, vec![(Audience::All, record)]);
         true
     }
 
-    /// Takes a whole answer of a request that was at work at a door.
+    /// Records the complete response to a request at a backend server.
     fn on_answer(self: &Arc<Self>, door: &Door, request: Fingerprint) {
-        let now = self.tools.clock.now();
+        let now = self.deps.clock.now();
         let mut table = self.table.lock();
-        let was = table.treatment(now, request);
-        let news = table.on_answer(now, request);
+        let previous = table.treatment(now, request);
+        let changes = table.on_answer(now, request);
         drop(table);
-        let Some((audience, record)) = news else { return };
-        if was != Treatment::Watched {
-            self.tools.metrics.suspects_cleared.inc();
+        let Some((audience, record)) = changes else { return };
+        if previous != Treatment::Watched {
+            self.deps.metrics.suspects_cleared.inc();
             log::info!("suspect: mark={request} standing=clear by=answer");
         }
-        self.clone().tell(Some(door.id.service.clone()), vec![(audience, record)]);
+        self.clone().disseminate(Some(door.id.service.clone()), vec![(audience, record)]);
     }
 
-    /// Takes a proved end of a door's backend server.
-    fn on_end(self: &Arc<Self>, door: &Door, ended: &Crash) {
-        self.tools.metrics.ends_at_work.inc();
-        let now = self.tools.clock.now();
-        let news = self.table.lock().on_crash(now, ended);
-        for (_, record) in &news {
-            self.log_end(now, door, ended, record);
+    /// Records the crash of a backend server.
+    fn on_crash(self: &Arc<Self>, door: &Door, crash: &Crash) {
+        self.deps.metrics.ends_at_work.inc();
+        let now = self.deps.clock.now();
+        let changes = self.table.lock().on_crash(now, crash);
+        for (_, record) in &changes {
+            self.log_crash(now, door, crash, record);
         }
-        self.clone().tell(Some(door.id.service.clone()), news);
+        self.clone().disseminate(Some(door.id.service.clone()), changes);
     }
 
-    fn log_end(&self, now: Timestamp, door: &Door, ended: &Crash, record: &Record) {
+    fn log_crash(&self, now: Timestamp, door: &Door, crash: &Crash, record: &Record) {
         let Some(dropped) = self.log.lock().take(now, true) else { return };
         let Record { request, caller, ends, .. } = record;
-        let standing = self.standing(now, *request);
+        let status = self.status(now, *request);
         log::info!(
             "suspect: mark={request} caller={:016x} server={} end={:016x} at_work={} ends={} ends_alone={} standing={} \
              lines_dropped={dropped}",
             caller.0,
             door.id.name,
-            ended.id.0,
-            ended.in_flight.len(),
+            crash.id.0,
+            crash.in_flight.len(),
             ends.len(),
             ends.iter().filter(|end| end.alone).count(),
-            standing.as_str(),
+            status.as_str(),
         );
     }
 
-    fn standing(&self, now: Timestamp, request: Fingerprint) -> Status {
+    fn status(&self, now: Timestamp, request: Fingerprint) -> Status {
         match self.table.lock().treatment(now, request) {
             Treatment::Clear => Status::Clear,
             Treatment::Watched => Status::Watched,
@@ -132,17 +134,17 @@
         }
     }
 
-    /// Returns whether the end of a door's backend server is planned: its own word, or that of its host.
+    /// Returns whether the stop of a backend server is planned: it is draining, or its host is.
     fn is_planned(&self, door: &Door) -> bool {
-        door.is_draining() || self.tools.phases.now() >= Phase::Draining
+        door.is_draining() || self.deps.phases.now() >= Phase::Draining
     }
 
-    fn show(&self) {
+    fn update_metrics(&self) {
         let table = self.table.lock();
-        for standing in [Status::Watched, Status::Isolated, Status::Quarantined] {
-            let label = SuspectLabel { standing: standing.as_str() };
-            let count = table.count(standing) as i64;
-            self.tools.metrics.suspects.get_or_create(&label).set(count);
+        for status in [Status::Watched, Status::Isolated, Status::Quarantined] {
+            let label = SuspectLabel { standing: status.as_str() };
+            let count = table.count(status) as i64;
+            self.deps.metrics.suspects.get_or_create(&label).set(count);
         }
     }
 }
--- a/crates/cherrystream-daemon/src/sync/downloads.rs
+++ b/crates/cherrystream-daemon/src/sync/downloads.rs
@@ -1,4 +1,4 @@
-//! Fetches long updates in chunks, from peers nearby or from control.
+//! Downloads long updates in chunks, from peers or from control.
 
 use crate::headers::{self, Op};
 use crate::held::HeldCell;
@@ -20,42 +20,42 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify, watch};
 
-/// Longest time for one chunk from a peer. No chunk grows with the state, so this is a time without progress: twice
-/// what a chunk is made to take at most.
+/// Timeout of one chunk from a peer. No chunk grows with the state, so this bounds the time
+/// without progress: twice the time that the size of a chunk is chosen for.
 const CHUNK_TIMEOUT: Duration = Duration::from_millis(400);
-/// Pause after a chunk that did not come from control.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Pause after control failed to send a chunk.
+const CONTROL_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Where an update is fetched from.
+/// Source of a chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Source {
     Control,
     Peer(String),
 }
 
-/// Why no chunk came.
-enum NoChunk {
-    /// The source does not hold the update.
-    Gone,
-    /// The source did not answer.
+/// Why a chunk was not received.
+enum ChunkError {
+    /// The source does not have the update.
+    NotFound,
+    /// The source did not reply.
     Failed,
 }
 
-/// The update that is being fetched.
+/// The download in progress.
 struct Job {
     download: Download,
-    /// Peers that are asked first.
+    /// Peers to try before control.
     peers: Vec<String>,
-    /// Peers that failed; they are not asked again.
+    /// Peers that failed; they are not tried again.
     failed: Vec<String>,
-    /// Whether control offered it.
+    /// Whether control offered the update.
     by_control: bool,
     started: Instant,
 }
 
 impl Job {
-    /// Returns whether a newer update would be there later than this one.
-    fn ends_before(&self, now: Timestamp, newer: &StateId) -> bool {
+    /// Returns whether this download completes before one of a newer update would.
+    fn completes_before(&self, now: Timestamp, newer: &StateId) -> bool {
         !self.download.is_stalled(now) && self.download.left() < newer.bytes
     }
 
@@ -65,102 +65,102 @@
     }
 }
 
-/// What the downloads of a daemon use.
-pub struct Tools {
-    /// Shared state held.
+/// Dependencies of [`Downloads`].
+pub struct Dependencies {
+    /// The current shared state.
     pub held: Arc<HeldCell>,
-    /// Encoded updates that other daemons may fetch here.
-    pub library: Arc<Mutex<UpdateCache>>,
+    /// Cache of encoded updates that other daemons can fetch.
+    pub update_cache: Arc<Mutex<UpdateCache>>,
     /// Connections to peers.
     pub peers: Arc<Peers>,
     /// Registration of this host.
     pub record: HostRecord,
-    /// Key of the system's own processes.
+    /// Key shared by the processes of the system.
     pub key: Option<Secret>,
-    /// Time within which a change is to be in force.
+    /// Time within which a change should take effect.
     pub within: Duration,
-    /// The clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Metrics.
+    /// Metrics of the daemon.
     pub metrics: Metrics,
 }
 
-/// The downloads of a daemon, one at a time.
+/// Downloads updates, one at a time.
 pub struct Downloads {
-    tools: Tools,
+    deps: Dependencies,
     job: Mutex<Option<Job>>,
-    /// The replica that this daemon keeps to.
+    /// Connection to the replica that this daemon follows.
     control: watch::Sender<Option<Arc<WsClient>>>,
-    begun: Notify,
-    /// Counts downloads that ended, put in force or not.
+    job_started: Notify,
+    /// Number of ended downloads, successful or not.
     ended: watch::Sender<u64>,
 }
 
 impl Downloads {
-    /// Creates downloads of which none is under way.
-    pub fn new(tools: Tools) -> Downloads {
+    /// Creates a downloader without a download in progress.
+    pub fn new(deps: Dependencies) -> Downloads {
         Downloads {
-            tools,
+            deps,
             job: Mutex::default(),
             control: watch::Sender::new(None),
-            begun: Notify::new(),
+            job_started: Notify::new(),
             ended: watch::Sender::new(0),
         }
     }
 
-    /// Notes the replica that this daemon keeps to now.
+    /// Sets the connection to the replica that this daemon follows.
     pub fn set_control(&self, client: Option<Arc<WsClient>>) {
         self.control.send_replace(client);
     }
 
-    /// Watches how many downloads ended: there may be something else to ask for.
+    /// Subscribes to the number of ended downloads.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.ended.subscribe()
     }
 
-    /// Returns what is being fetched, unless it makes no progress.
+    /// Returns the download in progress, unless it has stalled.
     pub fn status(&self) -> Option<Fetching> {
-        let now = self.tools.clock.now();
+        let now = self.deps.clock.now();
         let job = self.job.lock();
         let job = job.as_ref().filter(|job| !job.download.is_stalled(now))?;
         let (id, received) = (job.download.id(), job.download.received());
         Some(Fetching { id, received, by_control: job.by_control })
     }
 
-    /// Returns whether a revision or a later one is being fetched.
-    pub fn leads_to(&self, revision: Revision) -> bool {
+    /// Returns whether a download of this revision or a later one is in progress.
+    pub fn is_fetching(&self, revision: Revision) -> bool {
         self.status().is_some_and(|fetching| fetching.id.to >= revision)
     }
 
-    /// Begins to fetch an update that control offers, in place of any other.
+    /// Starts the download of an update that control offers, replacing any other.
     pub fn begin(&self, offer: Offer) {
         self.start(offer, true);
     }
 
-    /// Begins to fetch the state that a peer holds.
+    /// Starts the download of the state that a peer offers.
     pub fn begin_from(&self, peer: &str, offer: Offer) {
         self.start(Offer { peers: vec![peer.into()], ..offer }, false);
     }
 
     fn start(&self, offer: Offer, by_control: bool) {
-        let now = self.tools.clock.now();
+        let now = self.deps.clock.now();
         let mut job = self.job.lock();
         match job.as_mut() {
-            // What has come of it counts.
+            // Keeps the bytes received so far.
             Some(same) if same.download.id() == offer.id => {
                 same.download.renew(now);
                 same.by_control |= by_control;
                 let failed = &same.failed;
                 same.peers = offer.peers.into_iter().filter(|p| !failed.contains(p)).collect();
             }
-            Some(other) if !by_control && other.ends_before(now, &offer.id) => return,
+            Some(other) if !by_control && other.completes_before(now, &offer.id) => return,
             other => {
-                let Some(download) = Download::new(now, offer.id, self.tools.within) else {
-                    log::error!("sync: an update of {} bytes is too long", offer.id.bytes);
+                let Some(download) = Download::new(now, offer.id, self.deps.within) else {
+                    log::error!("sync: an update of {} bytes is too large", offer.id.bytes);
                     return;
                 };
                 if other.is_some() {
-                    self.count("replaced");
+                    self.count_download("replaced");
                 }
                 let (started, failed) = (Instant::now(), Vec::new());
                 *job = Some(Job { download, peers: offer.peers, failed, by_control, started });
@@ -170,44 +170,44 @@
         if let Some(chunk) = offer.first
             && let Some(data) = chunks::decode(&chunk)
         {
-            self.take(offer.id, chunk.offset, &data);
+            self.on_chunk(offer.id, chunk.offset, &data);
         }
-        self.begun.notify_one();
+        self.job_started.notify_one();
     }
 
-    /// Fetches whatever is to be fetched, for as long as the process runs.
+    /// Fetches chunks of the current download for the lifetime of the process.
     pub async fn run(self: Arc<Self>) {
         let mut piece_size = PieceSize::default();
         loop {
             let Some((req, source)) = self.next(&piece_size) else {
-                self.begun.notified().await;
+                self.job_started.notified().await;
                 continue;
             };
-            let asked = Instant::now();
+            let requested_at = Instant::now();
             match self.chunk(&req, &source).await {
                 Ok(data) => {
-                    let took = asked.elapsed();
+                    let took = requested_at.elapsed();
                     piece_size.on_reply(took);
                     self.count_bytes(&source, data.len());
-                    self.take(req.id, req.offset, &data);
-                    tokio::time::sleep(self.rest(data.len(), took)).await;
+                    self.on_chunk(req.id, req.offset, &data);
+                    tokio::time::sleep(self.pause(data.len(), took)).await;
                 }
-                Err(what) => {
+                Err(error) => {
                     piece_size.on_failure();
-                    self.on_no_chunk(&req.id, &source, what);
+                    self.on_chunk_error(&req.id, &source, error);
                     if source == Source::Control {
-                        tokio::time::sleep(PAUSE).await;
+                        tokio::time::sleep(CONTROL_RETRY_PAUSE).await;
                     }
                 }
             }
         }
     }
 
-    /// Returns the next chunk to ask for, and whom.
+    /// Returns the next chunk to request, and its source.
     fn next(&self, piece_size: &PieceSize) -> Option<(ChunkRequest, Source)> {
         let mut job = self.job.lock();
-        let held = self.tools.held.revision();
-        // What is held may have come another way meanwhile.
+        let held = self.deps.held.revision();
+        // The current state may have overtaken the download.
         if job.as_ref().is_some_and(|job| job.download.id().to <= held) {
             *job = None;
         }
@@ -216,128 +216,134 @@
             id: job.download.id(),
             offset: job.download.received(),
             bytes: piece_size.bytes() as u64,
-            host: self.tools.record.host.clone(),
-            failure_domain: self.tools.record.failure_domain.clone(),
+            host: self.deps.record.host.clone(),
+            failure_domain: self.deps.record.failure_domain.clone(),
         };
         Some((req, job.source()?))
     }
 
-    async fn chunk(&self, req: &ChunkRequest, source: &Source) -> Result<Vec<u8>, NoChunk> {
+    async fn chunk(&self, req: &ChunkRequest, source: &Source) -> Result<Vec<u8>, ChunkError> {
         match source {
-            Source::Control => self.chunk_of_control(req).await,
+            Source::Control => self.chunk_from_control(req).await,
             Source::Peer(address) => {
-                let asking = self.chunk_of_peer(req, address);
-                tokio::time::timeout(CHUNK_TIMEOUT, asking).await.unwrap_or(Err(NoChunk::Failed))
+                let fetch = self.chunk_from_peer(req, address);
+                tokio::time::timeout(CHUNK_TIMEOUT, fetch).await.unwrap_or(Err(ChunkError::Failed))
             }
         }
     }
 
-    async fn chunk_of_control(&self, req: &ChunkRequest) -> Result<Vec<u8>, NoChunk> {
-        let client = self.control.borrow().clone().ok_or(NoChunk::Failed)?;
+    async fn chunk_from_control(&self, req: &ChunkRequest) -> Result<Vec<u8>, ChunkError> {
+        let client = self.control.borrow().clone().ok_or(ChunkError::Failed)?;
         match client.chunk(req.clone()).await {
-            Ok(reply) => reply.chunk.as_ref().and_then(chunks::decode).ok_or(NoChunk::Gone),
+            Ok(reply) => reply.chunk.as_ref().and_then(chunks::decode).ok_or(ChunkError::NotFound),
             Err(e) => {
-                log::debug!("sync: control gave no chunk at {}: {e}", req.offset);
-                Err(NoChunk::Failed)
+                log::debug!("sync: control sent no chunk at offset {}: {e}", req.offset);
+                Err(ChunkError::Failed)
             }
         }
     }
 
-    async fn chunk_of_peer(&self, req: &ChunkRequest, address: &str) -> Result<Vec<u8>, NoChunk> {
-        let mut ask =
-            request(address, Op::Chunk, self.tools.key.as_ref()).ok_or(NoChunk::Failed)?;
-        headers::set_json(ask.headers_mut(), headers::CHUNK, req);
-        let res = self.tools.peers.send(address, ask).await.map_err(|_| NoChunk::Failed)?;
+    async fn chunk_from_peer(
+        &self,
+        req: &ChunkRequest,
+        address: &str,
+    ) -> Result<Vec<u8>, ChunkError> {
+        let mut chunk_req =
+            request(address, Op::Chunk, self.deps.key.as_ref()).ok_or(ChunkError::Failed)?;
+        headers::set_json(chunk_req.headers_mut(), headers::CHUNK, req);
+        let res = self.deps.peers.send(address, chunk_req).await.map_err(|_| ChunkError::Failed)?;
         if res.status() != StatusCode::OK {
-            return Err(NoChunk::Gone);
+            return Err(ChunkError::NotFound);
         }
         match body::read_start(res.into_body(), chunks::MOST).await {
             Ok(Start::Whole(bytes)) => Ok(bytes.to_vec()),
-            _ => Err(NoChunk::Failed),
+            _ => Err(ChunkError::Failed),
         }
     }
 
-    /// A peer that fails is asked no more; control is asked again, unless it does not hold the update any more.
-    fn on_no_chunk(&self, id: &StateId, source: &Source, what: NoChunk) {
-        self.count(match what {
-            NoChunk::Gone => "gone",
-            NoChunk::Failed => "failed",
+    /// Handles a missing chunk. Drops the peer that failed; keeps trying control as long as it
+    /// has the update.
+    fn on_chunk_error(&self, id: &StateId, source: &Source, error: ChunkError) {
+        self.count_download(match error {
+            ChunkError::NotFound => "gone",
+            ChunkError::Failed => "failed",
         });
         let mut current = self.job.lock();
         let Some(job) = current.as_mut().filter(|job| job.download.id() == *id) else { return };
-        match (source, what) {
+        match (source, error) {
             (Source::Peer(address), _) => {
                 job.peers.retain(|peer| peer != address);
                 job.failed.push(address.clone());
             }
-            (Source::Control, NoChunk::Gone) => job.by_control = false,
-            (Source::Control, NoChunk::Failed) => {}
+            (Source::Control, ChunkError::NotFound) => job.by_control = false,
+            (Source::Control, ChunkError::Failed) => {}
         }
         if job.source().is_none() {
-            log::debug!("sync: nobody holds {} any more", DisplayRevision(id.to));
+            log::debug!("sync: no source has {} any more", DisplayRevision(id.to));
             *current = None;
             drop(current);
-            self.note_end();
+            self.notify_ended();
         }
     }
 
-    /// Takes a chunk of an update; the last one puts the update in force.
-    fn take(&self, id: StateId, offset: u64, data: &[u8]) {
-        let now = self.tools.clock.now();
+    /// Handles a received chunk; the last one applies the update.
+    fn on_chunk(&self, id: StateId, offset: u64, data: &[u8]) {
+        let now = self.deps.clock.now();
         let mut current = self.job.lock();
         let Some(job) = current.as_mut().filter(|job| job.download.id() == id) else { return };
-        let (taken, started) = (job.download.take(now, offset, data), job.started);
-        match taken {
+        let (outcome, started) = (job.download.take(now, offset, data), job.started);
+        match outcome {
             Ok(ChunkOutcome::Partial | ChunkOutcome::Ignored) => {}
             Ok(ChunkOutcome::Whole(encoded)) => {
                 *current = None;
                 drop(current);
-                self.put_in_force(encoded, started.elapsed());
+                self.apply(encoded, started.elapsed());
             }
             Err(e) => {
                 *current = None;
                 drop(current);
-                self.count("damaged");
-                log::error!("sync: {} is fetched anew: {e}", DisplayRevision(id.to));
-                self.note_end();
+                self.count_download("damaged");
+                log::error!("sync: restarting the download of {}: {e}", DisplayRevision(id.to));
+                self.notify_ended();
             }
         }
     }
 
-    fn put_in_force(&self, encoded: EncodedUpdate, took: Duration) {
+    fn apply(&self, encoded: EncodedUpdate, took: Duration) {
         let StateId { from, to, bytes, .. } = encoded.id();
         let update = match encoded.decode() {
             Ok(update) => update,
             Err(e) => {
-                self.count("damaged");
-                log::error!("sync: {} cannot be read: {e}", DisplayRevision(to));
+                self.count_download("damaged");
+                log::error!("sync: the update to {} cannot be read: {e}", DisplayRevision(to));
                 return;
             }
         };
-        self.tools.library.lock().add(encoded);
-        self.count("whole");
+        self.deps.update_cache.lock().add(encoded);
+        self.count_download("whole");
         let (from, shown) = (DisplayRevision(from), DisplayRevision(to));
         log::info!("sync: fetched {shown} since {from}: {bytes} bytes in {took:?}");
-        self.tools.held.take(update);
-        self.note_end();
+        self.deps.held.take(update);
+        self.notify_ended();
     }
 
-    fn note_end(&self) {
+    fn notify_ended(&self) {
         self.ended.send_modify(|count| *count += 1);
     }
 
-    /// Returns how long to leave the link to requests after a chunk. Where nothing is held, none can be served.
-    fn rest(&self, bytes: usize, took: Duration) -> Duration {
-        if self.tools.held.revision() == Revision::default() {
+    /// Returns how long to pause after a chunk, to leave bandwidth for requests. A daemon without
+    /// a configuration serves none and does not pause.
+    fn pause(&self, bytes: usize, took: Duration) -> Duration {
+        if self.deps.held.revision() == Revision::default() {
             return Duration::ZERO;
         }
-        let now = self.tools.clock.now();
+        let now = self.deps.clock.now();
         let job = self.job.lock();
         job.as_ref().map_or(Duration::ZERO, |job| job.download.rest(now, bytes, took))
     }
 
-    fn count(&self, end: &'static str) {
-        self.tools.metrics.downloads.get_or_create(&ReasonLabel { reason: end }).inc();
+    fn count_download(&self, end: &'static str) {
+        self.deps.metrics.downloads.get_or_create(&ReasonLabel { reason: end }).inc();
     }
 
     fn count_bytes(&self, source: &Source, bytes: usize) {
@@ -346,11 +352,11 @@
             Source::Peer(_) => "peer",
         };
         let label = ReasonLabel { reason };
-        self.tools.metrics.download_bytes.get_or_create(&label).inc_by(bytes as u64);
+        self.deps.metrics.download_bytes.get_or_create(&label).inc_by(bytes as u64);
     }
 }
 
-/// Returns a question to a peer.
+/// Builds a request without a body to a peer.
 pub fn request(address: &str, op: Op, key: Option<&Secret>) -> Option<Request<body::Body>> {
     let mut req = Request::get(format!("http://{address}/")).body(body::empty()).ok()?;
     headers::set_static(req.headers_mut(), headers::OP, op.as_str());
--- a/crates/cherrystream-daemon/src/sync/mod.rs
+++ b/crates/cherrystream-daemon/src/sync/mod.rs
@@ -1,9 +1,9 @@
-//! Keeps the shared state up to date: heartbeats to control, and peers when control is away.
+//! Replicates the shared state: heartbeats to control, and peers while control is unreachable.
 
 mod downloads;
 mod newer;
 
-pub use downloads::{Downloads, Tools};
+pub use downloads::{Dependencies, Downloads};
 pub use newer::{Newer, Seen};
 
 use crate::headers::{self, Op};
@@ -27,100 +27,100 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Time that a heartbeat waits for a change, where the replicas are fixed.
-const WAIT: Duration = Duration::from_secs(4);
-/// Time that a heartbeat waits where replicas come and go: silence is noticed sooner.
-const SHORT_WAIT: Duration = Duration::from_millis(400);
-/// Longest time for one call where replicas come and go. No answer grows with the state, so this is a time without
-/// progress.
+/// Time that control may hold a heartbeat open for a change, where the replicas are fixed.
+const HEARTBEAT_WAIT: Duration = Duration::from_secs(4);
+/// As `HEARTBEAT_WAIT` where replicas come and go: detects an unreachable replica sooner.
+const SHORT_HEARTBEAT_WAIT: Duration = Duration::from_millis(400);
+/// Timeout of one call where replicas come and go. No reply grows with the state, so this bounds
+/// the time without progress.
 const SHORT_CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// A replica that has not caught up with a quorum for longer is left for another one.
-const STATE_AGE_AT_MOST: Duration = Duration::from_millis(1_000);
-/// Longest time for one call, as above.
+/// Largest age of a replica's state; the daemon leaves a replica that is further behind a quorum.
+const MAX_STATE_AGE: Duration = Duration::from_millis(1_000);
+/// Timeout of one call where the replicas are fixed.
 const CALL_TIMEOUT: Duration = Duration::from_secs(8);
-/// Time for which a word of control is taken to hold, from when its replica heard a leader with a quorum: a few heartbeats
-/// of `SHORT_WAIT` and the calls for them.
-const WORD_HOLDS: Duration = Duration::from_millis(2_000);
-/// Pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(150);
-/// As `PAUSE`, while no word of control was heard since the start: callers are refused meanwhile.
-const PAUSE_AT_START: Duration = Duration::from_millis(40);
-/// Longest wait for a connection while no word of control was heard since the start: after a loss of power
-/// the first packets to a host that is not back yet are lost, and are sent again only after a second.
-const CONNECT_AT_START: Duration = Duration::from_millis(150);
-/// Time that control has to tell of a change before a peer is asked.
-const PATIENCE: Duration = Duration::from_millis(1_000);
-/// Longest answer of a peer that is asked for an offer.
-const OFFER_BYTES: usize = 64 * 1024;
-/// Longest wait for a peer's offer: it may have to encode its state first.
+/// Validity of a confirmation by control, from the time its replica last reached a leader with a
+/// quorum: a few heartbeats of `SHORT_HEARTBEAT_WAIT` and their calls.
+const CONFIRMATION_TTL: Duration = Duration::from_millis(2_000);
+/// Pause after a failed call.
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
+/// As `RETRY_PAUSE` until control first replies: callers are refused until then.
+const STARTUP_RETRY_PAUSE: Duration = Duration::from_millis(40);
+/// Connect timeout until control first replies: after a power loss, the first packets to a host
+/// that is still down are lost, and TCP retransmits them only after a second.
+const STARTUP_CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// Time that control has to announce a change before the daemon asks a peer.
+const PEER_FETCH_DELAY: Duration = Duration::from_millis(1_000);
+/// Largest reply of a peer to a request for an offer.
+const MAX_OFFER_BYTES: usize = 64 * 1024;
+/// Timeout of a request for an offer: the peer may have to encode its state first.
 const OFFER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Keeps the shared state up to date.
+/// Replicates the shared state from control and from peers.
 pub struct Sync {
-    /// Shared state held.
+    /// The current shared state.
     pub held: Arc<HeldCell>,
     /// Registration of this host.
     pub record: HostRecord,
-    /// The control replicas. Taken with no other lock.
+    /// The control replicas. Never locked together with another lock.
     pub control: Mutex<ReplicaChoice>,
-    /// Reads the seeds again when control is lost.
-    pub reread: SeedReader,
-    /// Whether these stay as they are.
+    /// Reads the seeds again when control is unreachable.
+    pub read_seeds: SeedReader,
+    /// Whether the set of control replicas never changes.
     pub fixed: bool,
-    /// The instance beside this daemon.
+    /// The backend server instance next to this daemon.
     pub instances: Arc<Instances>,
-    /// Whether this daemon serves nothing before it knows a route table.
+    /// Whether this daemon serves nothing until it has a route table.
     pub routes_only: bool,
-    /// Peer addresses to ask while control is away after a restart.
+    /// Addresses of peers to ask while control is unreachable after a restart.
     pub seeds: Vec<String>,
-    /// Key of the system's own processes.
+    /// Key shared by the processes of the system.
     pub key: Option<Secret>,
     /// Connections to peers.
     pub peers: Arc<Peers>,
-    /// Long updates on their way here.
+    /// Downloads of long updates.
     pub downloads: Arc<Downloads>,
-    /// The newest revision that control told of, and when.
-    pub told: Mutex<Option<Told>>,
-    /// The clock.
+    /// The newest revision that control reported, and when.
+    pub reported: Mutex<Option<ReportedRevision>>,
+    /// Clock of the process.
     pub clock: Clock,
     /// Phase of the process.
     pub phases: Phases,
-    /// Set once a configuration is held.
+    /// Set while the daemon has the configuration that it needs to serve.
     pub ready: Arc<AtomicBool>,
-    /// Metrics.
+    /// Metrics of the daemon.
     pub metrics: Metrics,
 }
 
 impl Sync {
-    /// Runs for as long as the process does.
+    /// Follows control for the lifetime of the process.
     pub async fn run(self: Arc<Self>) {
-        let mut search = Search::default();
+        let mut search = ControlSearch::default();
         loop {
             let address = self.address();
             let started = Instant::now();
-            let left = match self.connect(&address, search.confirmed).await {
+            let end = match self.connect(&address, search.confirmed).await {
                 Ok(client) => {
                     let client = Arc::new(client);
                     self.downloads.set_control(Some(client.clone()));
-                    let left = self.follow(&client, &address, &mut search).await;
+                    let end = self.follow(&client, &address, &mut search).await;
                     self.downloads.set_control(None);
-                    left
+                    end
                 }
-                Err(what) => Left::Lost { what, took: started.elapsed() },
+                Err(reason) => LeaveReason::Lost { reason, took: started.elapsed() },
             };
-            let Left::Lost { what, took } = left else { continue };
+            let LeaveReason::Lost { reason, took } = end else { continue };
             self.control.lock().on_failure(self.clock.now(), &address, took);
-            search.tries += 1;
-            if !search.away {
-                log::warn!("sync: control is away: {what}");
+            search.failures += 1;
+            if !search.is_unreachable {
+                log::warn!("sync: control is unreachable: {reason}");
             }
-            search.away = true;
+            search.is_unreachable = true;
             self.metrics.control_errors.inc();
             if !search.confirmed {
-                self.ask_peers().await;
+                self.ask_seed_peers().await;
             }
-            self.add_seeds(search.tries);
-            let pause = if search.confirmed { PAUSE } else { PAUSE_AT_START };
+            self.add_seeds(search.failures);
+            let pause = if search.confirmed { RETRY_PAUSE } else { STARTUP_RETRY_PAUSE };
             tokio::time::sleep(pause).await;
         }
     }
@@ -130,9 +130,9 @@
         if confirmed || self.fixed {
             return connecting.await.map_err(|e| e.to_string());
         }
-        match tokio::time::timeout(CONNECT_AT_START, connecting).await {
+        match tokio::time::timeout(STARTUP_CONNECT_TIMEOUT, connecting).await {
             Ok(connected) => connected.map_err(|e| e.to_string()),
-            Err(_) => Err(format!("{address} takes no connection within {CONNECT_AT_START:?}")),
+            Err(_) => Err(format!("no connection to {address} within {STARTUP_CONNECT_TIMEOUT:?}")),
         }
     }
 
@@ -144,98 +144,105 @@
         if self.fixed { CALL_TIMEOUT } else { SHORT_CALL_TIMEOUT }
     }
 
-    /// While a roll-out is under way, the counts go with the heartbeats: these are short then everywhere.
+    /// Returns the wait of a heartbeat. Short during a roll-out, as heartbeats carry its counts.
     fn wait(&self) -> Duration {
         let short = !self.fixed || self.instances.tally().is_some();
-        if short { SHORT_WAIT } else { WAIT }
+        if short { SHORT_HEARTBEAT_WAIT } else { HEARTBEAT_WAIT }
     }
 
-    /// Notes for how long a word of control holds: until the next one is late, by the shortest wait.
-    fn hear_word(&self, state_age: Duration) {
-        let until = self.clock.now() + WORD_HOLDS.saturating_sub(state_age);
+    /// Records until when a confirmation by control is valid.
+    fn record_confirmation(&self, state_age: Duration) {
+        let until = self.clock.now() + CONFIRMATION_TTL.saturating_sub(state_age);
         self.held.hear_word(until);
     }
 
-    /// Sends heartbeats until one fails, and tells why it did. A replica of another failure domain is left when one
-    /// nearby is known.
-    async fn follow(&self, client: &WsClient, address: &str, search: &mut Search) -> Left {
-        let mut news =
-            News { instance: self.instances.subscribe(), ended: self.downloads.subscribe() };
-        let mut keeps_to_it = false;
+    /// Sends heartbeats until the daemon has to leave the replica, and returns why. It leaves a
+    /// replica of another failure domain when a nearer one is available.
+    async fn follow(
+        &self,
+        client: &WsClient,
+        address: &str,
+        search: &mut ControlSearch,
+    ) -> LeaveReason {
+        let mut changes = LocalChanges {
+            instance: self.instances.subscribe(),
+            ended: self.downloads.subscribe(),
+        };
+        let mut is_following = false;
         loop {
-            news.mark_unchanged();
-            let looks_in = !self.fixed && !keeps_to_it && !self.is_known_near(address);
-            let reply = match self.call(client, search.confirmed, looks_in, &mut news).await {
-                Called::Answered(reply) => reply,
-                Called::Abandoned => continue,
-                Called::Failed { what, took } => return Left::Lost { what, took },
+            changes.mark_unchanged();
+            let looks_in = !self.fixed && !is_following && !self.is_near(address);
+            let reply = match self.call(client, search.confirmed, looks_in, &mut changes).await {
+                CallOutcome::Answered(reply) => reply,
+                CallOutcome::Abandoned => continue,
+                CallOutcome::Failed { reason, took } => return LeaveReason::Lost { reason, took },
             };
-            if std::mem::take(&mut search.away) {
-                log::info!("sync: control is back");
+            if std::mem::take(&mut search.is_unreachable) {
+                log::info!("sync: control is reachable again");
             }
-            self.learn_replicas(address, &reply);
+            self.update_replicas(address, &reply);
             let state_age = Duration::from_millis(reply.state_age_ms);
-            if !self.fixed && state_age > STATE_AGE_AT_MOST {
-                self.take_state(SyncReply { offer: None, ..*reply });
-                let what = format!("it has not caught up with a quorum for {state_age:?}");
-                return Left::Lost { what, took: Duration::ZERO };
+            if !self.fixed && state_age > MAX_STATE_AGE {
+                self.apply_reply(SyncReply { offer: None, ..*reply });
+                let reason = format!("it has not caught up with a quorum for {state_age:?}");
+                return LeaveReason::Lost { reason, took: Duration::ZERO };
             }
             search.confirmed = true;
-            self.hear_word(state_age);
+            self.record_confirmation(state_age);
             if self.instances.on_confirmed(reply.instance.as_ref(), reply.newest) {
-                news.instance.mark_unchanged();
+                changes.instance.mark_unchanged();
             }
             self.metrics.unconfirmed.set(0);
-            self.take_state(*reply);
-            if self.leaves_for_nearer(address) {
-                return Left::TooFar;
+            self.apply_reply(*reply);
+            if self.should_switch_replica(address) {
+                return LeaveReason::NearerReplica;
             }
-            keeps_to_it = true;
+            is_following = true;
         }
     }
 
-    /// Notes that a replica serves this daemon, and returns whether one nearby is to be tried in its place.
-    fn leaves_for_nearer(&self, address: &str) -> bool {
+    /// Records that a replica replied, and returns whether a nearer one should be tried instead.
+    fn should_switch_replica(&self, address: &str) -> bool {
         let mut control = self.control.lock();
         control.on_success(address);
         !self.fixed && control.has_nearer(self.clock.now(), address)
     }
 
-    /// Makes one heartbeat call, unless something changes that control should hear first.
+    /// Makes one heartbeat call; abandons it when a local change has to be reported first.
     async fn call(
         &self,
         client: &WsClient,
         confirmed: bool,
         looks_in: bool,
-        news: &mut News,
-    ) -> Called {
+        changes: &mut LocalChanges,
+    ) -> CallOutcome {
         let leaving = self.phases.now() >= Phase::Draining;
         let req = SyncRequest { looks_in, ..self.heartbeat(leaving, confirmed) };
         let started = Instant::now();
         let answered = tokio::select! {
             answered = client.sync(req) => answered,
-            // Control must hear at once that this host leaves.
+            // Reports at once that this host is leaving.
             () = self.phases.reached(Phase::Draining), if !leaving => {
-                return self.count_call("abandoned", Called::Abandoned);
+                return self.count_call("abandoned", CallOutcome::Abandoned);
             }
-            () = news.some() => return self.count_call("abandoned", Called::Abandoned),
+            () = changes.changed() => return self.count_call("abandoned", CallOutcome::Abandoned),
         };
         match answered {
-            Ok(reply) => self.count_call("answered", Called::Answered(Box::new(reply))),
+            Ok(reply) => self.count_call("answered", CallOutcome::Answered(Box::new(reply))),
             Err(e) => {
                 let (took, held) = (started.elapsed(), DisplayRevision(self.held.revision()));
-                let what = format!("{e} after {took:?}, {held} is held");
-                self.count_call("failed", Called::Failed { what, took })
+                let reason = format!("{e} after {took:?}, at {held}");
+                self.count_call("failed", CallOutcome::Failed { reason, took })
             }
         }
     }
 
-    fn count_call(&self, end: &'static str, called: Called) -> Called {
+    fn count_call(&self, end: &'static str, called: CallOutcome) -> CallOutcome {
         self.metrics.sync_calls.get_or_create(&ReasonLabel { reason: end }).inc();
         called
     }
 
-    fn is_known_near(&self, address: &str) -> bool {
+    fn is_near(&self, address: &str) -> bool {
         self.control.lock().is_address_near(address)
     }
 
@@ -253,29 +260,30 @@
         }
     }
 
-    /// Takes what a replica tells of the state.
-    fn take_state(&self, reply: SyncReply) {
-        self.note_lag(reply.newest);
-        *self.told.lock() = Some(Told { newest: reply.newest, at: self.clock.now() });
+    /// Applies the update or starts the download that a replica's reply contains.
+    fn apply_reply(&self, reply: SyncReply) {
+        self.record_lag(reply.newest);
+        *self.reported.lock() =
+            Some(ReportedRevision { newest: reply.newest, at: self.clock.now() });
         if let Some(update) = reply.update {
-            self.take(update, "control");
+            self.apply(update, "control");
         }
         if let Some(offer) = reply.offer {
             self.downloads.begin(offer);
         }
     }
 
-    /// A replica that knows less than this daemon lags behind the log.
-    fn note_lag(&self, newest: Revision) {
+    /// Counts replies of replicas that are behind this daemon.
+    fn record_lag(&self, newest: Revision) {
         let held = self.held.revision();
         if newest < held {
             self.metrics.lagging_answers.inc();
             let (theirs, held) = (DisplayRevision(newest), DisplayRevision(held));
-            log::debug!("sync: the replica is at {theirs}, {held} is held");
+            log::debug!("sync: the replica is at {theirs}, this daemon at {held}");
         }
     }
 
-    fn take(&self, update: Update, from: &'static str) {
+    fn apply(&self, update: Update, from: &'static str) {
         let revision = update.revision;
         let (changes, whole) = (update.changes.len(), update.full.is_some());
         if self.held.take(update) {
@@ -285,8 +293,8 @@
         }
     }
 
-    /// Shows each revision that is held, however it came.
-    pub async fn show_revisions(self: Arc<Self>, mut revisions: watch::Receiver<Revision>) {
+    /// Publishes each new revision in the metrics and updates readiness.
+    pub async fn publish_revisions(self: Arc<Self>, mut revisions: watch::Receiver<Revision>) {
         while revisions.changed().await.is_ok() {
             let Held { revision, routes, .. } = self.held.get();
             self.metrics.revision_index.set(revision.index as i64);
@@ -296,17 +304,17 @@
         }
     }
 
-    /// Adds the seeds that the settings name now, once in a round of failed attempts: the replicas
-    /// known so far may all be gone.
-    fn add_seeds(&self, tries: usize) {
+    /// Adds the seeds that the settings currently name, once per round of failed attempts: all
+    /// known replicas may have been replaced.
+    fn add_seeds(&self, failures: usize) {
         let mut control = self.control.lock();
-        if self.fixed || !tries.is_multiple_of(control.len().max(1)) {
+        if self.fixed || !failures.is_multiple_of(control.len().max(1)) {
             return;
         }
-        control.add((self.reread)().into_iter().flatten());
+        control.add((self.read_seeds)().into_iter().flatten());
     }
 
-    fn learn_replicas(&self, address: &str, reply: &SyncReply) {
+    fn update_replicas(&self, address: &str, reply: &SyncReply) {
         if self.fixed {
             return;
         }
@@ -317,12 +325,12 @@
         }
     }
 
-    /// After a restart without control, the newest state that a peer holds is taken.
-    async fn ask_peers(&self) {
+    /// Downloads the newest state that a peer has, after a restart without control.
+    async fn ask_seed_peers(&self) {
         for address in &self.seeds {
-            if let Some(offer) = self.offer_of(address).await
+            if let Some(offer) = self.request_offer(address).await
                 && offer.id.to > self.held.revision()
-                && !self.downloads.leads_to(offer.id.to)
+                && !self.downloads.is_fetching(offer.id.to)
             {
                 self.metrics.unconfirmed.set(1);
                 self.downloads.begin_from(address, offer);
@@ -330,86 +338,86 @@
         }
     }
 
-    /// Fetches what peers hold that were seen to be newer, where control does not tell of it.
+    /// Fetches newer revisions from peers when control does not announce them in time.
     pub async fn follow_peers(self: Arc<Self>, newer: Arc<Newer>) {
         loop {
             newer.some().await;
-            // Control tells of most changes itself, at a smaller cost.
-            tokio::time::sleep(PATIENCE).await;
+            // Control announces most changes itself, at a lower cost.
+            tokio::time::sleep(PEER_FETCH_DELAY).await;
             let Some(Seen { address, revision, .. }) = newer.take() else { continue };
-            if revision <= self.held.revision() || self.is_served(revision) {
+            if revision <= self.held.revision() || self.is_expected(revision) {
                 continue;
             }
-            if let Some(offer) = self.offer_of(&address).await
+            if let Some(offer) = self.request_offer(&address).await
                 && offer.id.to > self.held.revision()
-                && !self.is_served(offer.id.to)
+                && !self.is_expected(offer.id.to)
             {
                 self.downloads.begin_from(&address, offer);
             }
         }
     }
 
-    /// Returns whether a revision is on its way, or control knows it and answers.
-    fn is_served(&self, revision: Revision) -> bool {
-        let told = *self.told.lock();
-        let by_control = told.is_some_and(|told| {
-            let age = self.clock.now().since(told.at);
-            told.newest >= revision && age < self.wait() + PATIENCE
+    /// Returns whether a revision is being downloaded, or control has it and replies.
+    fn is_expected(&self, revision: Revision) -> bool {
+        let reported = *self.reported.lock();
+        let by_control = reported.is_some_and(|reported| {
+            let age = self.clock.now().since(reported.at);
+            reported.newest >= revision && age < self.wait() + PEER_FETCH_DELAY
         });
-        by_control || self.downloads.leads_to(revision)
+        by_control || self.downloads.is_fetching(revision)
     }
 
-    /// Asks a peer for an offer of the state that it holds.
-    async fn offer_of(&self, address: &str) -> Option<Offer> {
+    /// Requests an offer of the state that a peer has.
+    async fn request_offer(&self, address: &str) -> Option<Offer> {
         let mut req = downloads::request(address, Op::Fetch, self.key.as_ref())?;
         headers::set(req.headers_mut(), headers::REVISION, DisplayRevision(self.held.revision()));
-        let asking = async {
+        let fetch = async {
             let res = self.peers.send(address, req).await.ok()?;
-            match body::read_start(res.into_body(), OFFER_BYTES).await {
+            match body::read_start(res.into_body(), MAX_OFFER_BYTES).await {
                 Ok(Start::Whole(bytes)) => serde_json::from_slice(&bytes).ok(),
                 _ => None,
             }
         };
-        tokio::time::timeout(OFFER_TIMEOUT, asking).await.ok()?
+        tokio::time::timeout(OFFER_TIMEOUT, fetch).await.ok()?
     }
 }
 
-/// What control told of last.
+/// The revision that control last reported.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
-    /// The newest revision that it had applied.
+pub struct ReportedRevision {
+    /// The newest revision that the replica had applied.
     pub newest: Revision,
-    /// When it told so.
+    /// When the reply arrived.
     pub at: Timestamp,
 }
 
-/// What is known on the way to the replica that this daemon keeps to.
+/// State of the search for a control replica.
 #[derive(Debug, Default)]
-struct Search {
-    /// Whether control has confirmed what is registered since the process started.
+struct ControlSearch {
+    /// Whether control has confirmed the registration since the process started.
     confirmed: bool,
-    /// Whether control is away.
-    away: bool,
-    /// Replicas that were lost since the start.
-    tries: usize,
+    /// Whether control is unreachable.
+    is_unreachable: bool,
+    /// Failures of replicas since the start.
+    failures: usize,
 }
 
-/// Changes here that end a heartbeat call, for control should hear of them.
-struct News {
-    /// The instance beside this daemon.
+/// Local changes that interrupt a heartbeat call, so that control receives them at once.
+struct LocalChanges {
+    /// Changes of the backend server instance.
     instance: watch::Receiver<u64>,
-    /// Downloads that ended: what came after them is to be asked for.
+    /// Ended downloads: later changes may have to be requested.
     ended: watch::Receiver<u64>,
 }
 
-impl News {
+impl LocalChanges {
     fn mark_unchanged(&mut self) {
         self.instance.mark_unchanged();
         self.ended.mark_unchanged();
     }
 
-    async fn some(&mut self) {
-        // The senders live as long as the daemon, so neither wait can fail.
+    async fn changed(&mut self) {
+        // The senders live as long as the daemon, so neither wait fails.
         tokio::select! {
             _ = self.instance.changed() => {}
             _ = self.ended.changed() => {}
@@ -418,29 +426,29 @@
 }
 
 /// How a heartbeat call ended.
-enum Called {
-    /// With an answer.
+enum CallOutcome {
+    /// With a reply.
     Answered(Box<SyncReply>),
-    /// Given up for something newer to tell.
+    /// Cancelled to report a newer change.
     Abandoned,
-    /// Without an answer.
+    /// Without a reply.
     Failed {
         /// Why.
-        what: String,
-        /// How long the call took.
+        reason: String,
+        /// Duration of the call.
         took: Duration,
     },
 }
 
-/// Why a replica was left.
-enum Left {
-    /// It does not answer, or cannot.
+/// Why the daemon leaves a replica.
+enum LeaveReason {
+    /// It does not reply, or is too far behind.
     Lost {
         /// Why.
-        what: String,
-        /// How long the call took that showed it.
+        reason: String,
+        /// Duration of the failed call.
         took: Duration,
     },
-    /// Another one is nearer.
-    TooFar,
+    /// A nearer replica is available.
+    NearerReplica,
 }
--- a/crates/cherrystream-daemon/src/sync/newer.rs
+++ b/crates/cherrystream-daemon/src/sync/newer.rs
@@ -1,28 +1,28 @@
-//! Newer revisions that peers were seen to hold.
+//! Newer revisions that peers report in their responses.
 
 use cherrystream_core::units::Revision;
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 
-/// A peer that was seen to hold a newer revision.
+/// A peer that reported a newer revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seen {
-    /// Its address.
+    /// Address of the peer.
     pub address: String,
-    /// What it holds.
+    /// Revision that it has.
     pub revision: Revision,
     /// Whether it is in the failure domain of this host.
     pub near: bool,
 }
 
 impl Seen {
-    /// Newer ones come first; of equal ones, those nearby.
+    /// Orders by revision, then prefers peers nearby.
     fn rank(&self) -> (Revision, bool) {
         (self.revision, self.near)
     }
 }
 
-/// The peer that was seen to hold the newest revision.
+/// The peer that reported the newest revision.
 #[derive(Default)]
 pub struct Newer {
     seen: Mutex<Option<Seen>>,
@@ -30,7 +30,7 @@
 }
 
 impl Newer {
-    /// Notes that a peer holds a revision that is newer than ours.
+    /// Records that a peer has a newer revision than this daemon.
     pub fn see(&self, peer: Seen) {
         let mut seen = self.seen.lock();
         if seen.as_ref().is_none_or(|known| known.rank() < peer.rank()) {
@@ -39,14 +39,14 @@
         }
     }
 
-    /// Waits until a peer was seen.
+    /// Waits until a peer is recorded.
     pub async fn some(&self) {
         while self.seen.lock().is_none() {
             self.notify.notified().await;
         }
     }
 
-    /// Returns the best peer that was seen, and forgets it.
+    /// Returns the best recorded peer and removes it.
     pub fn take(&self) -> Option<Seen> {
         self.seen.lock().take()
     }
--- a/crates/cherrystream-daemon/tests/quotas.rs
+++ b/crates/cherrystream-daemon/tests/quotas.rs
@@ -9,7 +9,7 @@
 use cherrystream_daemon::held::HeldCell;
 use cherrystream_daemon::metrics::Metrics;
 use cherrystream_daemon::peer::Peers;
-use cherrystream_daemon::quotas::{self, Quotas, Tools};
+use cherrystream_daemon::quotas::{self, Dependencies, Quotas};
 use cherrystream_daemon::role::{Context, Daemon};
 use cherrystream_net::clock::Clock;
 use cherrystream_net::serve::Phases;
@@ -102,7 +102,7 @@
     let metrics = Metrics::default();
     let held = Arc::new(HeldCell::default());
     assert!(held.take(update(addresses)));
-    let tools = Tools {
+    let tools = Dependencies {
         held: held.clone(),
         peers: Arc::new(Peers::new(metrics.clone())),
         key: None,
