--- a/crates/cherrystream-daemon/tests/dark_peers.rs
+++ b/crates/cherrystream-daemon/tests/dark_peers.rs
@@ -1,4 +1,4 @@
-//! Peers that are dark: packets to them are lost, and no connection to them is refused or made.
+//! Unreachable peers: connection attempts to them are neither accepted nor refused.
 
 use cherrystream_daemon::metrics::Metrics;
 use cherrystream_daemon::peer::{NoAnswer, Peers};
@@ -9,19 +9,19 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::JoinSet;
 
-/// Requests that go to the peer at once.
+/// Number of concurrent requests to the peer.
 const REQUESTS: usize = 8;
-/// Longest time that all of them may take together: one connection is tried for 250 ms.
-const AT_MOST: Duration = Duration::from_millis(750);
+/// Longest time until all requests have failed: a connection attempt times out after 250 ms.
+const MAX_TOTAL_TIME: Duration = Duration::from_millis(750);
 
-/// An address that answers no opening packet: its queue of new connections is full.
-struct Dark {
+/// A listener that does not reply to connection attempts, as its backlog is full.
+struct UnreachablePeer {
     address: String,
     _listener: TcpListener,
     _queued: Vec<TcpStream>,
 }
 
-async fn dark() -> Dark {
+async fn unreachable() -> UnreachablePeer {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(1).unwrap();
@@ -31,28 +31,29 @@
     while let Ok(stream) = tokio::time::timeout(wait, TcpStream::connect(&address)).await {
         queued.push(stream.unwrap());
     }
-    Dark { address, _listener: listener, _queued: queued }
+    UnreachablePeer { address, _listener: listener, _queued: queued }
 }
 
-/// Load: several requests for one host that has just lost power. One after the other, each waited for a connection of its
-/// own: 2 s in all.
+/// Guards against concurrent requests to an unreachable host connecting in turn, so that each waits
+/// for the timeouts of those before it.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_that_wait_for_one_connection_fail_together() {
-    let dark = Arc::new(dark().await);
+    let unreachable = Arc::new(unreachable().await);
     let peers = Arc::new(Peers::new(Metrics::default()));
     let started = Instant::now();
     let mut sending = JoinSet::new();
     for _ in 0..REQUESTS {
-        let (peers, dark) = (peers.clone(), dark.clone());
+        let (peers, unreachable) = (peers.clone(), unreachable.clone());
         sending.spawn(async move {
-            let req =
-                Request::get(format!("http://{}/", dark.address)).body(body::empty()).unwrap();
-            peers.send(&dark.address, req).await.map(|_| ())
+            let req = Request::get(format!("http://{}/", unreachable.address))
+                .body(body::empty())
+                .unwrap();
+            peers.send(&unreachable.address, req).await.map(|_| ())
         });
     }
     for sent in sending.join_all().await {
         assert_eq!(sent, Err(NoAnswer::NotSent));
     }
     let took = started.elapsed();
-    assert!(took < AT_MOST, "the last one failed after {took:?}");
+    assert!(took < MAX_TOTAL_TIME, "the last request failed after {took:?}");
 }
--- a/crates/cherrystream-daemon/tests/quotas.rs
+++ b/crates/cherrystream-daemon/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas of daemons that share them over sockets.
+//! Quotas shared by daemons that exchange leases over sockets.
 
 use cherrystream_core::reasons::Reason;
 use cherrystream_core::routes::RouteIndex;
@@ -31,7 +31,7 @@
     }
 }
 
-/// A workspace without burst: what runs at once is the room beyond its quota.
+/// Returns a workspace without a burst: only the tolerance admits requests at once.
 fn acme() -> NamedWorkspace {
     let quota = Some(Quota { per_second: 2.0, burst: 0.0 });
     NamedWorkspace { name: "acme".into(), priority: None, quota, allowed_regions: Vec::new() }
@@ -60,7 +60,7 @@
     }
 }
 
-/// Starts a daemon that answers batches; returns it with its peer address.
+/// Starts a daemon that replies to batches at a peer address.
 async fn daemon(n: usize, address: &str) -> Daemon {
     let text = format!(
         "host: host-{n}\nfailure_domain: domain-{}\nclosed_network: true\ndaemon:\n  caller_address: \
@@ -79,7 +79,7 @@
     Daemon::start(&all, all.daemon.as_ref().unwrap(), cx).await.unwrap()
 }
 
-/// Returns loopback addresses of one test's own, so that their ports are free.
+/// Returns loopback addresses that are unique to one test, so that their ports are free.
 fn own_addresses() -> Vec<String> {
     static TESTS: AtomicU32 = AtomicU32::new(1);
     let n = TESTS.fetch_add(1, Ordering::Relaxed);
@@ -97,12 +97,12 @@
     Update { revision, changes: Vec::new(), full: Some(state) }
 }
 
-/// The quotas of a host that joins the daemons, with the state that all hold.
-fn asker(addresses: &[String]) -> (Arc<Quotas>, Metrics) {
+/// Creates the quotas of a further host, with the same shared state as the daemons.
+fn local_quotas(addresses: &[String]) -> (Arc<Quotas>, Metrics) {
     let metrics = Metrics::default();
     let held = Arc::new(HeldCell::default());
     assert!(held.take(update(addresses)));
-    let tools = Dependencies {
+    let deps = Dependencies {
         held: held.clone(),
         peers: Arc::new(Peers::new(metrics.clone())),
         key: None,
@@ -114,7 +114,7 @@
     let settings = settings::read(text).unwrap().daemon.unwrap();
     let n = addresses.len() - 1;
     let own = record(n, &addresses[n]);
-    let quotas = Arc::new(Quotas::new(&own, quotas::tolerance(&settings), tools));
+    let quotas = Arc::new(Quotas::new(&own, quotas::tolerance(&settings), deps));
     let now = held.get();
     let routes = RouteIndex::new(now.routes.as_deref(), &now.shared.config);
     quotas.set(&now.shared, Arc::new(routes));
@@ -130,16 +130,17 @@
         assert!(daemon.held().take(update(&addresses)));
         daemons.push(daemon);
     }
-    // Each puts what it was given in force.
+    // Waits until each daemon has applied the state.
     tokio::time::sleep(Duration::from_millis(100)).await;
     (daemons, addresses)
 }
 
-/// Load: a workspace sends 60 requests at once at one daemon, and then goes on.
+/// Guards against requests beyond the quota being admitted, and against a retry time at which the
+/// workspace is refused again.
 #[tokio::test]
-async fn what_is_beyond_the_quota_is_refused_with_a_time_that_comes_true() {
+async fn requests_beyond_the_quota_are_refused_until_the_retry_time() {
     let (_daemons, addresses) = start().await;
-    let (quotas, _) = asker(&addresses);
+    let (quotas, _) = local_quotas(&addresses);
     tokio::time::sleep(Duration::from_secs(2)).await;
     let mut ran = 0;
     let mut refused = None;
@@ -149,20 +150,20 @@
             Err(why) => refused = Some(why),
         }
     }
-    // 2 a second in 5 s, and a room of a tenth of that and 20.
+    // 2 per second in a window of 5 s, with a tolerance of a tenth of that and 20 requests.
     assert!((1..=31).contains(&ran), "{ran} ran");
-    let refused = refused.expect("some were beyond the quota");
+    let refused = refused.expect("no request was refused, though some exceed the quota");
     assert_eq!(refused.reason, Reason::OverQuota);
     assert!(refused.retry_after <= Duration::from_secs(2), "{refused:?}");
     tokio::time::sleep(refused.retry_after).await;
     assert!(quotas.admit(&acme(), None).await.is_ok());
 }
 
-/// Load: requests below the quota, at the daemon of a host all of whose homes are elsewhere.
+/// Guards against refusals below the quota at a daemon whose quota allocators are all remote.
 #[tokio::test]
 async fn a_workspace_below_its_quota_is_not_refused() {
     let (_daemons, addresses) = start().await;
-    let (quotas, _) = asker(&addresses);
+    let (quotas, _) = local_quotas(&addresses);
     tokio::time::sleep(Duration::from_secs(1)).await;
     for _ in 0..4 {
         assert!(quotas.admit(&acme(), None).await.is_ok());
@@ -170,28 +171,30 @@
     }
 }
 
-/// Load: requests that no backend server had room for.
+/// Guards against charges of requests that were not run using up the quota.
 #[tokio::test]
-async fn what_was_not_run_is_given_back() {
+async fn charges_of_requests_that_did_not_run_are_refunded() {
     let (_daemons, addresses) = start().await;
-    let (quotas, _) = asker(&addresses);
+    let (quotas, _) = local_quotas(&addresses);
     tokio::time::sleep(Duration::from_secs(2)).await;
     for _ in 0..60 {
-        let charge = quotas.admit(&acme(), None).await.unwrap().expect("it has a quota");
+        let charge = quotas.admit(&acme(), None).await.unwrap().expect("the workspace has a quota");
         quotas.give_back(&charge);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Load: the peers of a daemon are all dark.
+/// Guards against long waits and unlimited admission when all quota allocators are unreachable.
 #[tokio::test]
-async fn a_daemon_that_reaches_no_home_soon_answers_and_runs_few() {
+async fn a_daemon_without_reachable_allocators_decides_soon_and_runs_few() {
     let addresses = own_addresses();
-    let (quotas, _) = asker(&addresses);
+    let (quotas, _) = local_quotas(&addresses);
     let (mut ran, acme) = (0, acme());
     for _ in 0..40 {
         let answered = tokio::time::timeout(Duration::from_secs(1), quotas.admit(&acme, None));
-        ran += u32::from(answered.await.expect("no caller waits for dark homes").is_ok());
+        ran += u32::from(
+            answered.await.expect("a caller waited for unreachable quota allocators").is_ok(),
+        );
     }
     assert!(ran <= 31, "{ran} ran");
 }
