--- a/crates/cherrystream-daemon/src/peer_server.rs
+++ b/crates/cherrystream-daemon/src/peer_server.rs
@@ -1,7 +1,7 @@
 //! Serves the requests of daemons of other hosts.
 
+use crate::current_config::{CurrentConfig, CurrentConfigCell};
 use crate::headers::{self, Op};
-use crate::held::{Held, HeldCell};
 use crate::hop;
 use crate::inbound::{Inbound, InboundCall};
 use crate::metrics::Metrics;
@@ -42,7 +42,7 @@
     /// Detection of requests that crash backend servers.
     pub suspects: Arc<SuspectWatch>,
     /// The current shared state.
-    pub held: Arc<HeldCell>,
+    pub held: Arc<CurrentConfigCell>,
     /// Cache of encoded updates that other daemons can fetch.
     pub update_cache: Arc<Mutex<UpdateCache>>,
     /// Key for the fingerprints of requests and callers.
@@ -208,13 +208,13 @@
     }
 
     /// Returns the identity of the encoded full state; encodes it unless it is cached.
-    fn encode_full(&self, held: &Held) -> StateId {
+    fn encode_full(&self, held: &CurrentConfig) -> StateId {
         let mut cache = self.update_cache.lock();
         let newest = cache.furthest(Revision::default()).map(EncodedUpdate::id);
         if let Some(id) = newest.filter(|id| id.to == held.revision) {
             return id;
         }
-        let full = Some(held.whole());
+        let full = Some(held.to_shared());
         let update = Update { revision: held.revision, changes: Vec::new(), full };
         let encoded = EncodedUpdate::new(Revision::default(), &update);
         let id = encoded.id();
--- a/crates/cherrystream-daemon/src/quotas.rs
+++ b/crates/cherrystream-daemon/src/quotas.rs
@@ -1,8 +1,8 @@
 //! Quotas shared by all hosts: decides on requests locally, and exchanges batches of lease requests
 //! with the daemons that allocate the quotas.
 
+use crate::current_config::CurrentConfigCell;
 use crate::headers::{self, Op};
-use crate::held::HeldCell;
 use crate::metrics::Metrics;
 use crate::peer::Peers;
 use crate::refusal::Refused;
@@ -53,7 +53,7 @@
 /// Dependencies of [`Quotas`].
 pub struct Dependencies {
     /// The current shared state.
-    pub held: Arc<HeldCell>,
+    pub held: Arc<CurrentConfigCell>,
     /// Connections to other daemons.
     pub peers: Arc<Peers>,
     /// Key shared by the processes of the system.
--- a/crates/cherrystream-daemon/src/suspects/mod.rs
+++ b/crates/cherrystream-daemon/src/suspects/mod.rs
@@ -10,9 +10,9 @@
 pub use dissemination::read_bytes;
 pub use in_flight::{AlonePlace, AtWork};
 
+use crate::current_config::CurrentConfigCell;
 use crate::door::Door;
 use crate::doors::Doors;
-use crate::held::HeldCell;
 use crate::metrics::{Metrics, SuspectLabel};
 use crate::peer::Peers;
 use cherrystream_core::log_budget::LogBudget;
@@ -42,7 +42,7 @@
     /// Backend servers of this host.
     pub doors: Arc<Doors>,
     /// The current shared state.
-    pub held: Arc<HeldCell>,
+    pub held: Arc<CurrentConfigCell>,
     /// Connections to other daemons.
     pub peers: Arc<Peers>,
     /// Key shared by the processes of the system.
--- a/crates/cherrystream-daemon/src/sync/downloads.rs
+++ b/crates/cherrystream-daemon/src/sync/downloads.rs
@@ -1,7 +1,7 @@
 //! Downloads long updates in chunks, from peers or from control.
 
+use crate::current_config::CurrentConfigCell;
 use crate::headers::{self, Op};
-use crate::held::HeldCell;
 use crate::metrics::{Metrics, ReasonLabel};
 use crate::peer::Peers;
 use cherrystream_core::distribution::{ChunkOutcome, Download, EncodedUpdate, UpdateCache};
@@ -68,7 +68,7 @@
 /// Dependencies of [`Downloads`].
 pub struct Dependencies {
     /// The current shared state.
-    pub held: Arc<HeldCell>,
+    pub held: Arc<CurrentConfigCell>,
     /// Cache of encoded updates that other daemons can fetch.
     pub update_cache: Arc<Mutex<UpdateCache>>,
     /// Connections to peers.
@@ -323,7 +323,7 @@
         self.count_download("whole");
         let (from, shown) = (DisplayRevision(from), DisplayRevision(to));
         log::info!("sync: fetched {shown} since {from}: {bytes} bytes in {took:?}");
-        self.deps.held.take(update);
+        self.deps.held.apply(update);
         self.notify_ended();
     }
 
--- a/crates/cherrystream-daemon/src/sync/mod.rs
+++ b/crates/cherrystream-daemon/src/sync/mod.rs
@@ -6,8 +6,8 @@
 pub use downloads::{Dependencies, Downloads};
 pub use newer::{Newer, Seen};
 
+use crate::current_config::{CurrentConfig, CurrentConfigCell};
 use crate::headers::{self, Op};
-use crate::held::{Held, HeldCell};
 use crate::instances::Instances;
 use crate::metrics::{Metrics, ReasonLabel};
 use crate::peer::Peers;
@@ -58,7 +58,7 @@
 /// Replicates the shared state from control and from peers.
 pub struct Sync {
     /// The current shared state.
-    pub held: Arc<HeldCell>,
+    pub held: Arc<CurrentConfigCell>,
     /// Registration of this host.
     pub record: HostRecord,
     /// The control replicas. Never locked together with another lock.
@@ -153,7 +153,7 @@
     /// Records until when a confirmation by control is valid.
     fn record_confirmation(&self, state_age: Duration) {
         let until = self.clock.now() + CONFIRMATION_TTL.saturating_sub(state_age);
-        self.held.hear_word(until);
+        self.held.extend_canary_lease(until);
     }
 
     /// Sends heartbeats until the daemon has to leave the replica, and returns why. It leaves a
@@ -286,7 +286,7 @@
     fn apply(&self, update: Update, from: &'static str) {
         let revision = update.revision;
         let (changes, whole) = (update.changes.len(), update.full.is_some());
-        if self.held.take(update) {
+        if self.held.apply(update) {
             let shown = DisplayRevision(revision);
             log::info!("sync: revision {shown} from {from}: {changes} changes, whole: {whole}");
             self.metrics.updates.get_or_create(&ReasonLabel { reason: from }).inc();
@@ -296,7 +296,7 @@
     /// Publishes each new revision in the metrics and updates readiness.
     pub async fn publish_revisions(self: Arc<Self>, mut revisions: watch::Receiver<Revision>) {
         while revisions.changed().await.is_ok() {
-            let Held { revision, routes, .. } = self.held.get();
+            let CurrentConfig { revision, routes, .. } = self.held.get();
             self.metrics.revision_index.set(revision.index as i64);
             self.metrics.revision_term.set(revision.term as i64);
             let serves = !self.routes_only || routes.is_some();
