--- a/crates/cherrystream-daemon/src/inbound/exchange.rs
+++ b/crates/cherrystream-daemon/src/inbound/exchange.rs
@@ -5,7 +5,7 @@
 use crate::headers;
 use crate::metrics::ServerLabel;
 use crate::refusal::Refused;
-use crate::suspects::{AlonePlace, AtWork};
+use crate::suspects::{InFlightRequest, IsolationPermit};
 use cherrystream_core::deadline::Deadline;
 use cherrystream_core::health::Check;
 use cherrystream_core::reasons::Reason;
@@ -25,7 +25,7 @@
         &self,
         door: &Arc<Door>,
         permit: Permit,
-        place: Option<AlonePlace>,
+        place: Option<IsolationPermit>,
         call: InboundCall,
     ) -> Result<Response<Body>, Refused> {
         let connection = self.connect(door, call.deadline).await?;
@@ -49,16 +49,16 @@
         let label = ServerLabel { server: door.id.name.to_string() };
         self.metrics.dispatched.get_or_create(&label).inc();
         permit.sent();
-        let at_work = AtWork::begin(&self.suspects, door, call.identity, place);
+        let at_work = InFlightRequest::begin(&self.suspects, door, call.identity, place);
         let sending = door.backend.send(connection, req);
         let res = match tokio::time::timeout(remaining, sending).await {
             Ok(Ok(res)) => res,
             Ok(Err(NoAnswer::NotSent)) => {
-                at_work.proves_nothing();
+                at_work.discard();
                 return Err(self.refuse(Reason::BackendServerDown));
             }
             Ok(Err(NoAnswer::Broke)) => {
-                at_work.broke();
+                at_work.connection_broken();
                 return Err(self.refuse(Reason::BackendServerBroke));
             }
             Err(_) => {
@@ -89,7 +89,7 @@
         res: Response<Body>,
         call: &str,
         permit: Permit,
-        at_work: AtWork,
+        at_work: InFlightRequest,
     ) -> Result<Response<Body>, Refused> {
         let (mut parts, body) = res.into_parts();
         if let Some(load) = self.interface.read_load(&parts) {
@@ -104,12 +104,12 @@
             Execution::OtherInstance => {
                 // The instance is gone, and whoever took its address has not reported yet. Each further send would be
                 // turned away as well, and count among the arrivals that a request may have.
-                at_work.proves_nothing();
+                at_work.discard();
                 door.on_check(Check::Reported(ServerState::Down));
                 return Err(self.refuse(Reason::OtherInstance));
             }
             Execution::WrongRequest => {
-                at_work.proves_nothing();
+                at_work.discard();
                 return Err(self.refuse(Reason::WrongCall));
             }
         }
@@ -122,7 +122,7 @@
                 permit.answered(failed);
                 at_work.answered(failed);
             }
-            Ending::Broken => at_work.broke(),
+            Ending::Broken => at_work.connection_broken(),
         });
         let short = body.size_hint().upper().is_some_and(|bytes| bytes <= HELD_BYTES as u64);
         let body = if short { body } else { stall::limit(body, self.stall_limit) };
--- a/crates/cherrystream-daemon/src/inbound/mod.rs
+++ b/crates/cherrystream-daemon/src/inbound/mod.rs
@@ -10,7 +10,7 @@
 use crate::doors::Doors;
 use crate::metrics::{self, Metrics, ServerLabel};
 use crate::refusal::Refused;
-use crate::suspects::{AlonePlace, SuspectWatch};
+use crate::suspects::{IsolationPermit, SuspectWatch};
 use attempt::Attempt;
 use bytes::Bytes;
 use cherrystream_core::admission::{Arrival, Flow};
@@ -275,7 +275,7 @@
         &self,
         door: &Arc<Door>,
         call: &InboundCall,
-    ) -> Result<Option<AlonePlace>, Refused> {
+    ) -> Result<Option<IsolationPermit>, Refused> {
         let must_be_alone = match self.suspects.judge(call.identity.request) {
             Treatment::Quarantined(retry_after) => {
                 return Err(Refused { retry_after, ..self.refuse(Reason::HeldBack) });
@@ -290,7 +290,8 @@
         if !call.alone {
             return Ok(None);
         }
-        let place = AlonePlace::take(door).ok_or_else(|| self.refuse(Reason::RunsAlone))?;
+        let place =
+            IsolationPermit::try_acquire(door).ok_or_else(|| self.refuse(Reason::RunsAlone))?;
         Ok(Some(place))
     }
 
--- a/crates/cherrystream-daemon/src/suspects/in_flight.rs
+++ b/crates/cherrystream-daemon/src/suspects/in_flight.rs
@@ -17,45 +17,45 @@
 const SUCCESSOR_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Permit for the one request that may run in isolation at a server; released on drop.
-pub struct AlonePlace {
+pub struct IsolationPermit {
     door: Arc<Door>,
 }
 
-impl AlonePlace {
+impl IsolationPermit {
     /// Acquires the permit, if it is free.
-    pub fn take(door: &Arc<Door>) -> Option<AlonePlace> {
+    pub fn try_acquire(door: &Arc<Door>) -> Option<IsolationPermit> {
         let is_free = door.ends().begin_isolated();
-        is_free.then(|| AlonePlace { door: door.clone() })
+        is_free.then(|| IsolationPermit { door: door.clone() })
     }
 }
 
-impl Drop for AlonePlace {
+impl Drop for IsolationPermit {
     fn drop(&mut self) {
         self.door.ends().end_isolated();
     }
 }
 
 /// A request in flight. Dropping it without an outcome records that its caller disconnected.
-pub struct AtWork {
+pub struct InFlightRequest {
     watch: Arc<SuspectWatch>,
     door: Arc<Door>,
     sent: SentRequest,
     sent_at: Timestamp,
     ticket: Ticket,
     is_settled: bool,
-    _permit: Option<AlonePlace>,
+    _permit: Option<IsolationPermit>,
 }
 
-impl AtWork {
+impl InFlightRequest {
     /// Records that a request is sent to the backend server.
     pub fn begin(
         watch: &Arc<SuspectWatch>,
         door: &Arc<Door>,
         identity: Identity,
-        permit: Option<AlonePlace>,
-    ) -> AtWork {
+        permit: Option<IsolationPermit>,
+    ) -> InFlightRequest {
         let sent_at = watch.deps.clock.now();
-        AtWork {
+        InFlightRequest {
             watch: watch.clone(),
             door: door.clone(),
             sent: SentRequest { identity, isolated: permit.is_some() },
@@ -83,12 +83,12 @@
     }
 
     /// Discards the request: it was not sent, or the response belongs to another request.
-    pub fn proves_nothing(mut self) {
+    pub fn discard(mut self) {
         self.is_settled = true;
     }
 
     /// Records that the connection of the request broke.
-    pub fn broke(mut self) {
+    pub fn connection_broken(mut self) {
         self.is_settled = true;
         let now = self.watch.deps.clock.now();
         self.door.ends().finish(self.ticket);
@@ -103,7 +103,7 @@
     }
 }
 
-impl Drop for AtWork {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.door.ends().finish(self.ticket);
         if !self.is_settled {
--- a/crates/cherrystream-daemon/src/suspects/mod.rs
+++ b/crates/cherrystream-daemon/src/suspects/mod.rs
@@ -8,7 +8,7 @@
 mod in_flight;
 
 pub use dissemination::read_bytes;
-pub use in_flight::{AlonePlace, AtWork};
+pub use in_flight::{InFlightRequest, IsolationPermit};
 
 use crate::current_config::CurrentConfigCell;
 use crate::door::Door;
