--- a/crates/cherrystream-daemon/src/inbound/exchange.rs
+++ b/crates/cherrystream-daemon/src/inbound/exchange.rs
@@ -75,7 +75,7 @@
             Ok(Ok(connection)) => Ok(connection),
             Ok(Err(_)) => {
                 door.on_check(Check::Failed);
-                self.suspects.look(door);
+                self.suspects.check_for_crash(door);
                 Err(self.refuse(Reason::BackendServerDown))
             }
             Err(_) => Err(self.refuse(Reason::DeadlineBeforeStart)),
--- a/crates/cherrystream-daemon/src/inbound/mod.rs
+++ b/crates/cherrystream-daemon/src/inbound/mod.rs
@@ -10,7 +10,7 @@
 use crate::doors::Doors;
 use crate::metrics::{self, Metrics, ServerLabel};
 use crate::refusal::Refused;
-use crate::suspects::{IsolationPermit, SuspectWatch};
+use crate::suspects::{IsolationPermit, SuspectTracker};
 use attempt::Attempt;
 use bytes::Bytes;
 use cherrystream_core::admission::{Arrival, Flow};
@@ -116,7 +116,7 @@
     /// Doors of this host.
     pub doors: Arc<Doors>,
     pub(crate) interface: Arc<dyn CallInterface>,
-    pub(crate) suspects: Arc<SuspectWatch>,
+    pub(crate) suspects: Arc<SuspectTracker>,
     pub(crate) attempts: Mutex<Attempts<HeldAnswer>>,
     /// Slots kept for calls whose bodies follow. Taken before a door's admission, never with it.
     pub(crate) reservations: Mutex<Reservations<Permit>>,
@@ -276,7 +276,7 @@
         door: &Arc<Door>,
         call: &InboundCall,
     ) -> Result<Option<IsolationPermit>, Refused> {
-        let must_be_alone = match self.suspects.judge(call.identity.request) {
+        let must_be_alone = match self.suspects.treatment(call.identity.request) {
             Treatment::Quarantined(retry_after) => {
                 return Err(Refused { retry_after, ..self.refuse(Reason::HeldBack) });
             }
--- a/crates/cherrystream-daemon/src/outbound/hedging.rs
+++ b/crates/cherrystream-daemon/src/outbound/hedging.rs
@@ -20,7 +20,7 @@
         server: &ServerId,
     ) -> AttemptResult {
         // A hedged attempt of a request that crashes backend servers could crash another one.
-        let is_clear = self.suspects.judge(call.identity.request) == Treatment::Clear;
+        let is_clear = self.suspects.treatment(call.identity.request) == Treatment::Clear;
         let Some(mut second) = call.fork_for_hedge().filter(|_| is_clear) else {
             return self.attempt(call, current, server, None).await;
         };
--- a/crates/cherrystream-daemon/src/outbound/mod.rs
+++ b/crates/cherrystream-daemon/src/outbound/mod.rs
@@ -22,7 +22,7 @@
 use crate::quotas::Quotas;
 use crate::refusal::Refused;
 use crate::request_log::{RequestLog, RequestSummary};
-use crate::suspects::SuspectWatch;
+use crate::suspects::SuspectTracker;
 use crate::sync::Newer;
 use canaries::Canary;
 use cherrystream_core::choose::{Server, ServerTable};
@@ -98,7 +98,7 @@
     pub(crate) inbound: Arc<Inbound>,
     pub(crate) peers: Arc<Peers>,
     pub(crate) quotas: Arc<Quotas>,
-    pub(crate) suspects: Arc<SuspectWatch>,
+    pub(crate) suspects: Arc<SuspectTracker>,
     pub(crate) ledger: Arc<Ledger>,
     pub(crate) newer: Arc<Newer>,
     pub(crate) retries: RetryOptions,
--- a/crates/cherrystream-daemon/src/outbound/retrying.rs
+++ b/crates/cherrystream-daemon/src/outbound/retrying.rs
@@ -13,7 +13,7 @@
     /// Checks whether the request is suspect. Refuses it if it is quarantined, as each attempt
     /// could crash a backend server.
     pub(super) fn check_suspect(&self, call: &mut Call) -> Result<(), Refused> {
-        match self.suspects.judge(call.identity.request) {
+        match self.suspects.treatment(call.identity.request) {
             Treatment::Clear | Treatment::Watched => {}
             Treatment::Isolated => call.run_alone(),
             Treatment::Quarantined(retry_after) => {
--- a/crates/cherrystream-daemon/src/peer_server.rs
+++ b/crates/cherrystream-daemon/src/peer_server.rs
@@ -7,7 +7,7 @@
 use crate::metrics::Metrics;
 use crate::quotas::{self, Quotas};
 use crate::refusal::{self, Refused};
-use crate::suspects::{self, SuspectWatch};
+use crate::suspects::{self, SuspectTracker};
 use cherrystream_core::attempts::{Claimed, RequestKey};
 use cherrystream_core::deadline::Deadline;
 use cherrystream_core::distribution::{EncodedUpdate, UpdateCache};
@@ -40,7 +40,7 @@
     /// Quotas of the workspaces.
     pub quotas: Arc<Quotas>,
     /// Detection of requests that crash backend servers.
-    pub suspects: Arc<SuspectWatch>,
+    pub suspects: Arc<SuspectTracker>,
     /// The current shared state.
     pub held: Arc<CurrentConfigCell>,
     /// Cache of encoded updates that other daemons can fetch.
@@ -189,7 +189,7 @@
     async fn lift(&self, req: Request<Incoming>) -> Response<Body> {
         let fingerprint = read_json::<String>(req).await;
         match fingerprint.and_then(|fingerprint| Fingerprint::read(&fingerprint)) {
-            Some(request) => json(&LiftReply { lifted: self.suspects.lift(request) }),
+            Some(request) => json(&LiftReply { lifted: self.suspects.clear(request) }),
             None => refusal::response(Refused::new(Reason::BadRequest)),
         }
     }
--- a/crates/cherrystream-daemon/src/role.rs
+++ b/crates/cherrystream-daemon/src/role.rs
@@ -13,7 +13,7 @@
 use crate::peer_server::PeerServer;
 use crate::quotas::{self, Quotas};
 use crate::request_log::RequestLog;
-use crate::suspects::{self, SuspectWatch};
+use crate::suspects::{self, SuspectTracker};
 use crate::sync::{self, Downloads, Newer, Sync};
 use cherrystream_core::attempts::{self, Attempts};
 use cherrystream_core::distribution::UpdateCache;
@@ -90,7 +90,7 @@
         let newer = Arc::new(Newer::default());
         let routes_only = all.interface == Some(InterfaceKind::Platform);
         let doors = Arc::new(doors(&record, settings, &cx, clock));
-        let suspects = Arc::new(SuspectWatch::new(suspects::Dependencies {
+        let suspects = Arc::new(SuspectTracker::new(suspects::Dependencies {
             host: record.host.as_str().into(),
             doors: doors.clone(),
             held: held.clone(),
--- a/crates/cherrystream-daemon/src/suspects/dissemination.rs
+++ b/crates/cherrystream-daemon/src/suspects/dissemination.rs
@@ -1,6 +1,6 @@
 //! Exchanges records of requests that crash backend servers with other daemons.
 
-use super::SuspectWatch;
+use super::SuspectTracker;
 use crate::headers::{self, Op};
 use cherrystream_core::suspects::{Audience, Message, Record, ring};
 use cherrystream_net::body::{self, Body, Start};
@@ -20,7 +20,7 @@
 /// Largest message, in bytes: a full table with a few crashes per request.
 const MAX_MESSAGE_BYTES: usize = 512 * 1024;
 
-impl SuspectWatch {
+impl SuspectTracker {
     /// Fetches the records of peers at the start, then compares digests with them in rotation.
     pub async fn run(self: Arc<Self>) {
         self.fetch_initial().await;
@@ -124,11 +124,11 @@
     fn send_to(self: &Arc<Self>, addresses: Vec<String>, records: Vec<Record>) {
         let message = Arc::new(Message { records, digest: None });
         for address in addresses {
-            let (watch, message) = (self.clone(), message.clone());
+            let (tracker, message) = (self.clone(), message.clone());
             tokio::spawn(async move {
-                if watch.send(&address, &message).await.is_none() {
+                if tracker.send(&address, &message).await.is_none() {
                     tokio::time::sleep(RETRY_DELAY).await;
-                    watch.send(&address, &message).await;
+                    tracker.send(&address, &message).await;
                 }
             });
         }
--- a/crates/cherrystream-daemon/src/suspects/in_flight.rs
+++ b/crates/cherrystream-daemon/src/suspects/in_flight.rs
@@ -1,6 +1,6 @@
 //! Requests in flight at a backend server, and the check whether it has crashed.
 
-use super::SuspectWatch;
+use super::SuspectTracker;
 use crate::door::Door;
 use cherrystream_core::suspects::crashes::Ticket;
 use cherrystream_core::suspects::{CrashId, Identity, SentRequest};
@@ -37,7 +37,7 @@
 
 /// A request in flight. Dropping it without an outcome records that its caller disconnected.
 pub struct InFlightRequest {
-    watch: Arc<SuspectWatch>,
+    tracker: Arc<SuspectTracker>,
     door: Arc<Door>,
     sent: SentRequest,
     sent_at: Timestamp,
@@ -49,14 +49,14 @@
 impl InFlightRequest {
     /// Records that a request is sent to the backend server.
     pub fn begin(
-        watch: &Arc<SuspectWatch>,
+        tracker: &Arc<SuspectTracker>,
         door: &Arc<Door>,
         identity: Identity,
         permit: Option<IsolationPermit>,
     ) -> InFlightRequest {
-        let sent_at = watch.deps.clock.now();
+        let sent_at = tracker.deps.clock.now();
         InFlightRequest {
-            watch: watch.clone(),
+            tracker: tracker.clone(),
             door: door.clone(),
             sent: SentRequest { identity, isolated: permit.is_some() },
             sent_at,
@@ -72,7 +72,7 @@
         self.is_settled = true;
         self.door.ends().on_answer(self.sent_at);
         if !failed {
-            self.watch.on_answer(&self.door, self.sent.identity.request);
+            self.tracker.on_answer(&self.door, self.sent.identity.request);
         }
     }
 
@@ -90,15 +90,15 @@
     /// Records that the connection of the request broke.
     pub fn connection_broken(mut self) {
         self.is_settled = true;
-        let now = self.watch.deps.clock.now();
+        let now = self.tracker.deps.clock.now();
         self.door.ends().finish(self.ticket);
         let crash = self.door.ends().on_connection_broken(now, self.sent_at, self.sent);
         match crash {
-            Some(crash) if !self.watch.is_planned(&self.door) => {
-                self.watch.on_crash(&self.door, &crash);
+            Some(crash) if !self.tracker.is_planned(&self.door) => {
+                self.tracker.on_crash(&self.door, &crash);
             }
             Some(_) => {}
-            None => self.watch.look(&self.door),
+            None => self.tracker.check_for_crash(&self.door),
         }
     }
 }
@@ -107,21 +107,21 @@
     fn drop(&mut self) {
         self.door.ends().finish(self.ticket);
         if !self.is_settled {
-            let now = self.watch.deps.clock.now();
+            let now = self.tracker.deps.clock.now();
             self.door.ends().on_caller_disconnected(now, self.sent_at, self.sent);
         }
     }
 }
 
-impl SuspectWatch {
+impl SuspectTracker {
     /// Checks in the background whether a backend server has crashed, if connections to it have
     /// broken and no check is running.
-    pub fn look(self: &Arc<Self>, door: &Arc<Door>) {
+    pub fn check_for_crash(self: &Arc<Self>, door: &Arc<Door>) {
         if door.ends().begin_probe(self.deps.clock.now()) {
-            let (watch, door) = (self.clone(), door.clone());
+            let (tracker, door) = (self.clone(), door.clone());
             tokio::spawn(async move {
-                if watch.has_crashed(&door).await {
-                    watch.on_crash_detected(&door);
+                if tracker.has_crashed(&door).await {
+                    tracker.on_crash_detected(&door);
                 }
                 door.ends().end_probe();
             });
--- a/crates/cherrystream-daemon/src/suspects/mod.rs
+++ b/crates/cherrystream-daemon/src/suspects/mod.rs
@@ -29,13 +29,13 @@
 
 /// Records of requests that crash backend servers. The lock of the table is never held together
 /// with another lock.
-pub struct SuspectWatch {
+pub struct SuspectTracker {
     table: Mutex<Suspects>,
     log: Mutex<LogBudget>,
     deps: Dependencies,
 }
 
-/// Dependencies of [`SuspectWatch`].
+/// Dependencies of [`SuspectTracker`].
 pub struct Dependencies {
     /// Name of this host.
     pub host: Arc<str>,
@@ -55,14 +55,14 @@
     pub metrics: Metrics,
 }
 
-impl SuspectWatch {
-    /// Creates a watch without records.
-    pub fn new(deps: Dependencies) -> SuspectWatch {
-        SuspectWatch { table: Mutex::default(), log: Mutex::default(), deps }
+impl SuspectTracker {
+    /// Creates a tracker without records.
+    pub fn new(deps: Dependencies) -> SuspectTracker {
+        SuspectTracker { table: Mutex::default(), log: Mutex::default(), deps }
     }
 
     /// Returns how a request is treated.
-    pub fn judge(&self, request: Fingerprint) -> Treatment {
+    pub fn treatment(&self, request: Fingerprint) -> Treatment {
         self.table.lock().treatment(self.deps.clock.now(), request)
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Clears a request on behalf of an operator; returns whether there was a record of it.
-    pub fn lift(self: &Arc<Self>, request: Fingerprint) -> bool {
+    pub fn clear(self: &Arc<Self>, request: Fingerprint) -> bool {
         let now = self.deps.clock.now();
         let changes = self.table.lock().clear(now, request);
         let Some((_, record)) = changes else { return false };
