--- a/crates/cherrystream-daemon/src/outbound/send.rs
+++ b/crates/cherrystream-daemon/src/outbound/send.rs
@@ -6,7 +6,7 @@
 use crate::headers::{self, Op};
 use crate::hop;
 use crate::inbound::{HELD_BYTES, InboundCall};
-use crate::peer::{Line, NoAnswer};
+use crate::peer::{NoAnswer, PeerConnection};
 use crate::peer_server::ClaimHeader;
 use crate::refusal::Refused;
 use crate::sync::Seen;
@@ -171,9 +171,9 @@
 
     /// Returns a connection to a peer. Nothing of the request is sent meanwhile, so it has provably
     /// not run if the deadline passes.
-    async fn connect(&self, call: &Call, address: &str) -> Result<Line, Refused> {
+    async fn connect(&self, call: &Call, address: &str) -> Result<PeerConnection, Refused> {
         let remaining = call.deadline.remaining(self.clock.now()).unwrap_or_default();
-        match tokio::time::timeout(remaining, self.peers.line(address)).await {
+        match tokio::time::timeout(remaining, self.peers.connect(address)).await {
             Ok(line) => line.ok_or(Refused::new(Reason::PeerUnreachable)),
             Err(_) => Err(Refused::new(Reason::DeadlineBeforeStart)),
         }
--- a/crates/cherrystream-daemon/src/outbound/server_lists.rs
+++ b/crates/cherrystream-daemon/src/outbound/server_lists.rs
@@ -40,7 +40,7 @@
             balancer.hedges.bound(MAX_SAVED_HEDGES);
         }
         drop(balancers);
-        self.peers.keep_only(|address| shared.hosts.values().any(|h| h.peer_address == address));
+        self.peers.retain(|address| shared.hosts.values().any(|h| h.peer_address == address));
     }
 
     /// Builds the index of routes and workspaces. It is rebuilt only when these change, as tables
--- a/crates/cherrystream-daemon/src/peer.rs
+++ b/crates/cherrystream-daemon/src/peer.rs
@@ -53,20 +53,20 @@
         address: &str,
         req: Request<Body>,
     ) -> Result<Response<Body>, NoAnswer> {
-        let line = self.line(address).await.ok_or(NoAnswer::NotSent)?;
-        line.send(req).await
+        let connection = self.connect(address).await.ok_or(NoAnswer::NotSent)?;
+        connection.send(req).await
     }
 
     /// Returns a connection to the daemon at an address, without sending a request. Returns `None`
     /// when the daemon is unreachable.
-    pub async fn line(&self, address: &str) -> Option<Line> {
+    pub async fn connect(&self, address: &str) -> Option<PeerConnection> {
         let peer = self.peer(address);
         let sender = peer.sender(&self.metrics).await?;
-        Some(Line { peer, sender })
+        Some(PeerConnection { peer, sender })
     }
 
     /// Closes the connections to addresses that are no longer in use.
-    pub fn keep_only(&self, used: impl Fn(&str) -> bool) {
+    pub fn retain(&self, used: impl Fn(&str) -> bool) {
         self.by_address.write().retain(|address, _| used(address));
     }
 
@@ -80,12 +80,12 @@
 }
 
 /// A connection to a peer.
-pub struct Line {
+pub struct PeerConnection {
     peer: Arc<Peer>,
     sender: SendRequest<Body>,
 }
 
-impl Line {
+impl PeerConnection {
     /// Sends a request.
     ///
     /// # Errors
