--- a/crates/cherrystream-daemon/src/outbound/mod.rs
+++ b/crates/cherrystream-daemon/src/outbound/mod.rs
@@ -23,7 +23,7 @@
 use crate::refusal::Refused;
 use crate::request_log::{RequestLog, RequestSummary};
 use crate::suspects::SuspectTracker;
-use crate::sync::Newer;
+use crate::sync::NewestPeer;
 use canaries::Canary;
 use cherrystream_core::choose::{Server, ServerTable};
 use cherrystream_core::elapsed_time::ElapsedTimeEstimator;
@@ -100,7 +100,7 @@
     pub(crate) quotas: Arc<Quotas>,
     pub(crate) suspects: Arc<SuspectTracker>,
     pub(crate) ledger: Arc<Ledger>,
-    pub(crate) newer: Arc<Newer>,
+    pub(crate) newest_peer: Arc<NewestPeer>,
     pub(crate) retries: RetryOptions,
     pub(crate) crossing_cost: Duration,
     pub(crate) request_log: RequestLog,
--- a/crates/cherrystream-daemon/src/outbound/send.rs
+++ b/crates/cherrystream-daemon/src/outbound/send.rs
@@ -9,7 +9,7 @@
 use crate::peer::{NoAnswer, PeerConnection};
 use crate::peer_server::ClaimHeader;
 use crate::refusal::Refused;
-use crate::sync::Seen;
+use crate::sync::PeerRevision;
 use cherrystream_core::attempts::{Claimed, RequestKey};
 use cherrystream_core::choose::{CallId, Distance, Server, ServerId};
 use cherrystream_core::reasons::{Outcome, Reason};
@@ -272,7 +272,7 @@
             .filter(|revision| *revision > self.current_config.revision())
         {
             let near = matches!(server.distance, Distance::SameHost | Distance::SameDomain);
-            self.newer.see(Seen { address: address.into(), revision, near });
+            self.newest_peer.record(PeerRevision { address: address.into(), revision, near });
         }
         let mut head = hop::read_answer(map).filter(|head| head.call == call.id)?;
         if let Some(report) = head.report.take() {
--- a/crates/cherrystream-daemon/src/role.rs
+++ b/crates/cherrystream-daemon/src/role.rs
@@ -14,7 +14,7 @@
 use crate::quotas::{self, Quotas};
 use crate::request_log::RequestLog;
 use crate::suspects::{self, SuspectTracker};
-use crate::sync::{self, Downloads, Newer, Sync};
+use crate::sync::{self, Downloads, NewestPeer, Sync};
 use cherrystream_core::attempts::{self, Attempts};
 use cherrystream_core::distribution::UpdateCache;
 use cherrystream_core::replica_choice::ReplicaChoice;
@@ -87,7 +87,7 @@
         let clock = Clock::default();
         let held = Arc::new(CurrentConfigCell::default());
         let peers = Arc::new(Peers::new(cx.metrics.clone()));
-        let newer = Arc::new(Newer::default());
+        let newest_peer = Arc::new(NewestPeer::default());
         let routes_only = all.interface == Some(InterfaceKind::Platform);
         let doors = Arc::new(doors(&record, settings, &cx, clock));
         let suspects = Arc::new(SuspectTracker::new(suspects::Dependencies {
@@ -142,7 +142,7 @@
             quotas: quotas.clone(),
             suspects: suspects.clone(),
             ledger: Arc::new(Ledger::new(&control, cx.key.clone())),
-            newer: newer.clone(),
+            newest_peer: newest_peer.clone(),
             retries: RetryOptions {
                 share: settings.retry_share,
                 hedge_share: settings.hedge_share,
@@ -200,7 +200,7 @@
         tokio::spawn(sync.clone().publish_revisions(held.subscribe()));
         tokio::spawn(downloads.run());
         tokio::spawn(sync.clone().run());
-        tokio::spawn(sync.follow_peers(newer));
+        tokio::spawn(sync.follow_peers(newest_peer));
         let measuring = Measuring { clock, metrics: cx.metrics.clone() };
         tokio::spawn(measure::measure(inbound.clone(), measuring));
         let readiness = Readiness {
--- a/crates/cherrystream-daemon/src/sync/mod.rs
+++ b/crates/cherrystream-daemon/src/sync/mod.rs
@@ -1,10 +1,10 @@
 //! Replicates the shared state: heartbeats to control, and peers while control is unreachable.
 
 mod downloads;
-mod newer;
+mod newest_peer;
 
 pub use downloads::{Dependencies, Downloads};
-pub use newer::{Newer, Seen};
+pub use newest_peer::{NewestPeer, PeerRevision};
 
 use crate::current_config::{CurrentConfig, CurrentConfigCell};
 use crate::headers::{self, Op};
@@ -339,12 +339,12 @@
     }
 
     /// Fetches newer revisions from peers when control does not announce them in time.
-    pub async fn follow_peers(self: Arc<Self>, newer: Arc<Newer>) {
+    pub async fn follow_peers(self: Arc<Self>, newest_peer: Arc<NewestPeer>) {
         loop {
-            newer.some().await;
+            newest_peer.wait().await;
             // Control announces most changes itself, at a lower cost.
             tokio::time::sleep(PEER_FETCH_DELAY).await;
-            let Some(Seen { address, revision, .. }) = newer.take() else { continue };
+            let Some(PeerRevision { address, revision, .. }) = newest_peer.take() else { continue };
             if revision <= self.held.revision() || self.is_expected(revision) {
                 continue;
             }
--- a/crates/cherrystream-daemon/src/sync/newer.rs
+++ b/crates/cherrystream-daemon/src/sync/newest_peer.rs
@@ -1,4 +1,4 @@
-//! Newer revisions that peers report in their responses.
+//! NewestPeer revisions that peers report in their responses.
 
 use cherrystream_core::units::Revision;
 use parking_lot::Mutex;
@@ -6,7 +6,7 @@
 
 /// A peer that reported a newer revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct PeerRevision {
     /// Address of the peer.
     pub address: String,
     /// Revision that it has.
@@ -15,7 +15,7 @@
     pub near: bool,
 }
 
-impl Seen {
+impl PeerRevision {
     /// Orders by revision, then prefers peers nearby.
     fn rank(&self) -> (Revision, bool) {
         (self.revision, self.near)
@@ -24,14 +24,14 @@
 
 /// The peer that reported the newest revision.
 #[derive(Default)]
-pub struct Newer {
-    seen: Mutex<Option<Seen>>,
+pub struct NewestPeer {
+    seen: Mutex<Option<PeerRevision>>,
     notify: Notify,
 }
 
-impl Newer {
+impl NewestPeer {
     /// Records that a peer has a newer revision than this daemon.
-    pub fn see(&self, peer: Seen) {
+    pub fn record(&self, peer: PeerRevision) {
         let mut seen = self.seen.lock();
         if seen.as_ref().is_none_or(|known| known.rank() < peer.rank()) {
             *seen = Some(peer);
@@ -40,14 +40,14 @@
     }
 
     /// Waits until a peer is recorded.
-    pub async fn some(&self) {
+    pub async fn wait(&self) {
         while self.seen.lock().is_none() {
             self.notify.notified().await;
         }
     }
 
     /// Returns the best recorded peer and removes it.
-    pub fn take(&self) -> Option<Seen> {
+    pub fn take(&self) -> Option<PeerRevision> {
         self.seen.lock().take()
     }
 }
