--- a/crates/cherrystream-daemon/src/quotas.rs
+++ b/crates/cherrystream-daemon/src/quotas.rs
@@ -203,7 +203,7 @@
     async fn exchange(self: Arc<Self>, sent: Timestamp, allocator: Arc<str>, batch: LeaseBatch) {
         let reply = tokio::time::timeout(REPLY_TIMEOUT, self.ask(&allocator, &batch)).await;
         let reply = reply.ok().flatten();
-        self.deps.metrics.quotas.on_letter(reply.is_some());
+        self.deps.metrics.quotas.on_batch(reply.is_some());
         let now = self.deps.clock.now();
         if reply.is_none()
             && let Some(dropped) = self.log.lock().take(now, true)
--- a/crates/cherrystream-daemon/src/role.rs
+++ b/crates/cherrystream-daemon/src/role.rs
@@ -1,12 +1,12 @@
 //! Creates and starts the components of the daemon role.
 
 use crate::current_config::CurrentConfigCell;
-use crate::doors::{DoorOptions, Doors};
 use crate::errors::Result;
+use crate::health_checks::{self, HealthCheckContext};
 use crate::inbound::Inbound;
 use crate::instances::Instances;
-use crate::ledger::Ledger;
-use crate::measure::{self, Measuring};
+use crate::ledger::LedgerClient;
+use crate::local_servers::{LocalServerOptions, LocalServers};
 use crate::metrics::Metrics;
 use crate::outbound::{Outbound, RetryOptions};
 use crate::peer::Peers;
@@ -89,10 +89,10 @@
         let peers = Arc::new(Peers::new(cx.metrics.clone()));
         let newest_peer = Arc::new(NewestPeer::default());
         let routes_only = all.interface == Some(InterfaceKind::Platform);
-        let doors = Arc::new(doors(&record, settings, &cx, clock));
+        let local_servers = Arc::new(local_servers(&record, settings, &cx, clock));
         let suspects = Arc::new(SuspectTracker::new(suspects::Dependencies {
             host: record.host.as_str().into(),
-            doors: doors.clone(),
+            doors: local_servers.clone(),
             held: held.clone(),
             peers: peers.clone(),
             key: cx.key.clone(),
@@ -103,7 +103,7 @@
         tokio::spawn(suspects.clone().run());
         let inbound = Arc::new(Inbound {
             incarnation: record.incarnation,
-            doors: doors.clone(),
+            local_servers: local_servers.clone(),
             interface: cx.interface.clone(),
             suspects: suspects.clone(),
             attempts: Mutex::new(Attempts::new(attempts::Options {
@@ -111,14 +111,14 @@
                 ..attempts::Options::default()
             })),
             reservations: Mutex::default(),
-            held: held.clone(),
+            current_config: held.clone(),
             host: record.host.as_str().into(),
             phases: cx.phases.clone(),
             stall_limit: Duration::from_millis(settings.stall_limit_ms),
             clock,
             metrics: cx.metrics.clone(),
         });
-        let instances = Arc::new(Instances::new(doors, cx.interface.clone()));
+        let instances = Arc::new(Instances::new(local_servers, cx.interface.clone()));
         let quotas = Arc::new(Quotas::new(
             &record,
             quotas::tolerance(settings),
@@ -141,7 +141,7 @@
             peers: peers.clone(),
             quotas: quotas.clone(),
             suspects: suspects.clone(),
-            ledger: Arc::new(Ledger::new(&control, cx.key.clone())),
+            ledger: Arc::new(LedgerClient::new(&control, cx.key.clone())),
             newest_peer: newest_peer.clone(),
             retries: RetryOptions {
                 share: settings.retry_share,
@@ -201,8 +201,8 @@
         tokio::spawn(downloads.run());
         tokio::spawn(sync.clone().run());
         tokio::spawn(sync.follow_peers(newest_peer));
-        let measuring = Measuring { clock, metrics: cx.metrics.clone() };
-        tokio::spawn(measure::measure(inbound.clone(), measuring));
+        let health_checks = HealthCheckContext { clock, metrics: cx.metrics.clone() };
+        tokio::spawn(health_checks::run(inbound.clone(), health_checks));
         let readiness = Readiness {
             interface: cx.interface.clone(),
             ready: cx.ready,
@@ -309,16 +309,21 @@
     }
 }
 
-fn doors(record: &HostRecord, settings: &DaemonSettings, cx: &Context, clock: Clock) -> Doors {
-    let opts = DoorOptions {
+fn local_servers(
+    record: &HostRecord,
+    settings: &DaemonSettings,
+    cx: &Context,
+    clock: Clock,
+) -> LocalServers {
+    let opts = LocalServerOptions {
         queue_per_slot: settings.queue_per_slot,
         slot_share: settings.slot_share,
-        room: settings.room.unwrap_or(RoomKind::Fixed),
+        concurrency_limit: settings.room.unwrap_or(RoomKind::Fixed),
         cold_over: settings.cold_over,
         cold_slack: settings.cold_slack,
     };
     let host = record.host.as_str().into();
-    Doors::new(host, opts, clock, cx.interface.id_header(), cx.metrics.clone())
+    LocalServers::new(host, opts, clock, cx.interface.id_header(), cx.metrics.clone())
 }
 
 /// Applies each new revision to the inbound and outbound sides.
@@ -334,9 +339,9 @@
         let is_evacuated = shared::is_evacuated(&now.shared, &inbound.host);
         if std::mem::replace(&mut was_evacuated, is_evacuated) && !is_evacuated {
             // The backend servers may have become cold without load.
-            inbound.doors.doubt_warmth();
+            inbound.local_servers.invalidate_warmth();
         }
-        inbound.doors.set(&now);
+        inbound.local_servers.apply_config(&now);
         outbound.apply_config(&now);
     }
 }
--- a/crates/cherrystream-daemon/src/suspects/in_flight.rs
+++ b/crates/cherrystream-daemon/src/suspects/in_flight.rs
@@ -1,7 +1,7 @@
 //! Requests in flight at a backend server, and the check whether it has crashed.
 
 use super::SuspectTracker;
-use crate::door::Door;
+use crate::local_server::LocalServer;
 use cherrystream_core::suspects::crashes::Ticket;
 use cherrystream_core::suspects::{CrashId, Identity, SentRequest};
 use cherrystream_core::units::Timestamp;
@@ -18,27 +18,27 @@
 
 /// Permit for the one request that may run in isolation at a server; released on drop.
 pub struct IsolationPermit {
-    door: Arc<Door>,
+    door: Arc<LocalServer>,
 }
 
 impl IsolationPermit {
     /// Acquires the permit, if it is free.
-    pub fn try_acquire(door: &Arc<Door>) -> Option<IsolationPermit> {
-        let is_free = door.ends().begin_isolated();
+    pub fn try_acquire(door: &Arc<LocalServer>) -> Option<IsolationPermit> {
+        let is_free = door.crash_detector().begin_isolated();
         is_free.then(|| IsolationPermit { door: door.clone() })
     }
 }
 
 impl Drop for IsolationPermit {
     fn drop(&mut self) {
-        self.door.ends().end_isolated();
+        self.door.crash_detector().end_isolated();
     }
 }
 
 /// A request in flight. Dropping it without an outcome records that its caller disconnected.
 pub struct InFlightRequest {
     tracker: Arc<SuspectTracker>,
-    door: Arc<Door>,
+    door: Arc<LocalServer>,
     sent: SentRequest,
     sent_at: Timestamp,
     ticket: Ticket,
@@ -50,7 +50,7 @@
     /// Records that a request is sent to the backend server.
     pub fn begin(
         tracker: &Arc<SuspectTracker>,
-        door: &Arc<Door>,
+        door: &Arc<LocalServer>,
         identity: Identity,
         permit: Option<IsolationPermit>,
     ) -> InFlightRequest {
@@ -60,7 +60,7 @@
             door: door.clone(),
             sent: SentRequest { identity, isolated: permit.is_some() },
             sent_at,
-            ticket: door.ends().begin(sent_at),
+            ticket: door.crash_detector().begin(sent_at),
             is_settled: false,
             _permit: permit,
         }
@@ -70,7 +70,7 @@
     /// before the point at which it would crash the server, as when a nested call fails.
     pub fn answered(mut self, failed: bool) {
         self.is_settled = true;
-        self.door.ends().on_answer(self.sent_at);
+        self.door.crash_detector().on_answer(self.sent_at);
         if !failed {
             self.tracker.on_answer(&self.door, self.sent.identity.request);
         }
@@ -79,7 +79,7 @@
     /// Records that the server did not run the request; the server or its successor is alive.
     pub fn not_run(mut self) {
         self.is_settled = true;
-        self.door.ends().on_answer(self.sent_at);
+        self.door.crash_detector().on_answer(self.sent_at);
     }
 
     /// Discards the request: it was not sent, or the response belongs to another request.
@@ -91,8 +91,8 @@
     pub fn connection_broken(mut self) {
         self.is_settled = true;
         let now = self.tracker.deps.clock.now();
-        self.door.ends().finish(self.ticket);
-        let crash = self.door.ends().on_connection_broken(now, self.sent_at, self.sent);
+        self.door.crash_detector().finish(self.ticket);
+        let crash = self.door.crash_detector().on_connection_broken(now, self.sent_at, self.sent);
         match crash {
             Some(crash) if !self.tracker.is_planned(&self.door) => {
                 self.tracker.on_crash(&self.door, &crash);
@@ -105,10 +105,10 @@
 
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        self.door.ends().finish(self.ticket);
+        self.door.crash_detector().finish(self.ticket);
         if !self.is_settled {
             let now = self.tracker.deps.clock.now();
-            self.door.ends().on_caller_disconnected(now, self.sent_at, self.sent);
+            self.door.crash_detector().on_caller_disconnected(now, self.sent_at, self.sent);
         }
     }
 }
@@ -116,36 +116,36 @@
 impl SuspectTracker {
     /// Checks in the background whether a backend server has crashed, if connections to it have
     /// broken and no check is running.
-    pub fn check_for_crash(self: &Arc<Self>, door: &Arc<Door>) {
-        if door.ends().begin_probe(self.deps.clock.now()) {
+    pub fn check_for_crash(self: &Arc<Self>, door: &Arc<LocalServer>) {
+        if door.crash_detector().begin_probe(self.deps.clock.now()) {
             let (tracker, door) = (self.clone(), door.clone());
             tokio::spawn(async move {
                 if tracker.has_crashed(&door).await {
                     tracker.on_crash_detected(&door);
                 }
-                door.ends().end_probe();
+                door.crash_detector().end_probe();
             });
         }
     }
 
-    async fn has_crashed(&self, door: &Arc<Door>) -> bool {
+    async fn has_crashed(&self, door: &Arc<LocalServer>) -> bool {
         let mut any_kept = false;
         for delay in PROBE_DELAYS {
             tokio::time::sleep(delay).await;
-            if !door.ends().has_unexplained(self.deps.clock.now()) {
+            if !door.crash_detector().has_unexplained(self.deps.clock.now()) {
                 return false;
             }
             let probe = door.backend.probe().await;
             any_kept |= probe == Probe::Kept;
-            if probe == Probe::Refused && !door.ends().has_survivor() {
+            if probe == Probe::Refused && !door.crash_detector().has_survivor() {
                 return true;
             }
         }
         // A proxy in front of the server accepts connections while it is down, and closes them.
-        if !any_kept && !door.ends().has_survivor() {
+        if !any_kept && !door.crash_detector().has_survivor() {
             return true;
         }
-        while door.ends().has_unexplained(self.deps.clock.now()) {
+        while door.crash_detector().has_unexplained(self.deps.clock.now()) {
             if self.is_replaced(door) {
                 return true;
             }
@@ -155,19 +155,19 @@
     }
 
     /// Returns whether another instance has replaced a backend server that reported itself.
-    fn is_replaced(&self, door: &Arc<Door>) -> bool {
+    fn is_replaced(&self, door: &Arc<LocalServer>) -> bool {
         let listed = self.deps.doors.listed().iter().any(|known| Arc::ptr_eq(known, door));
         let instance = self.deps.doors.instance();
         !listed && instance.is_some_and(|now| !Arc::ptr_eq(&now, door))
     }
 
-    fn on_crash_detected(self: &Arc<Self>, door: &Arc<Door>) {
+    fn on_crash_detected(self: &Arc<Self>, door: &Arc<LocalServer>) {
         let now = self.deps.clock.now();
         if self.is_planned(door) {
-            door.ends().on_planned_stop();
+            door.crash_detector().on_planned_stop();
             return;
         }
-        let crash = door.ends().on_crash(now, CrashId(rand::random()));
+        let crash = door.crash_detector().on_crash(now, CrashId(rand::random()));
         if let Some(crash) = crash {
             self.on_crash(door, &crash);
         }
--- a/crates/cherrystream-daemon/src/suspects/mod.rs
+++ b/crates/cherrystream-daemon/src/suspects/mod.rs
@@ -11,8 +11,8 @@
 pub use in_flight::{InFlightRequest, IsolationPermit};
 
 use crate::current_config::CurrentConfigCell;
-use crate::door::Door;
-use crate::doors::Doors;
+use crate::local_server::LocalServer;
+use crate::local_servers::LocalServers;
 use crate::metrics::{Metrics, SuspectLabel};
 use crate::peer::Peers;
 use cherrystream_core::log_budget::LogBudget;
@@ -40,7 +40,7 @@
     /// Name of this host.
     pub host: Arc<str>,
     /// Backend servers of this host.
-    pub doors: Arc<Doors>,
+    pub doors: Arc<LocalServers>,
     /// The current shared state.
     pub held: Arc<CurrentConfigCell>,
     /// Connections to other daemons.
@@ -83,7 +83,7 @@
     }
 
     /// Records the complete response to a request at a backend server.
-    fn on_answer(self: &Arc<Self>, door: &Door, request: Fingerprint) {
+    fn on_answer(self: &Arc<Self>, door: &LocalServer, request: Fingerprint) {
         let now = self.deps.clock.now();
         let mut table = self.table.lock();
         let previous = table.treatment(now, request);
@@ -98,7 +98,7 @@
     }
 
     /// Records the crash of a backend server.
-    fn on_crash(self: &Arc<Self>, door: &Door, crash: &Crash) {
+    fn on_crash(self: &Arc<Self>, door: &LocalServer, crash: &Crash) {
         self.deps.metrics.ends_at_work.inc();
         let now = self.deps.clock.now();
         let changes = self.table.lock().on_crash(now, crash);
@@ -108,7 +108,7 @@
         self.clone().disseminate(Some(door.id.service.clone()), changes);
     }
 
-    fn log_crash(&self, now: Timestamp, door: &Door, crash: &Crash, record: &Record) {
+    fn log_crash(&self, now: Timestamp, door: &LocalServer, crash: &Crash, record: &Record) {
         let Some(dropped) = self.log.lock().take(now, true) else { return };
         let Record { request, caller, ends, .. } = record;
         let status = self.status(now, *request);
@@ -135,7 +135,7 @@
     }
 
     /// Returns whether the stop of a backend server is planned: it is draining, or its host is.
-    fn is_planned(&self, door: &Door) -> bool {
+    fn is_planned(&self, door: &LocalServer) -> bool {
         door.is_draining() || self.deps.phases.now() >= Phase::Draining
     }
 
--- a/crates/cherrystream-daemon/src/sync/mod.rs
+++ b/crates/cherrystream-daemon/src/sync/mod.rs
@@ -146,7 +146,7 @@
 
     /// Returns the wait of a heartbeat. Short during a roll-out, as heartbeats carry its counts.
     fn wait(&self) -> Duration {
-        let short = !self.fixed || self.instances.tally().is_some();
+        let short = !self.fixed || self.instances.version_counts().is_some();
         if short { SHORT_HEARTBEAT_WAIT } else { HEARTBEAT_WAIT }
     }
 
@@ -255,7 +255,7 @@
             instance: self.instances.current(),
             fetching: self.downloads.status(),
             looks_in: false,
-            tally: self.instances.tally(),
+            tally: self.instances.version_counts(),
             control_known: if self.fixed { 0 } else { self.control.lock().checksum() },
         }
     }
