--- a/crates/cherrystream-bench/src/rig.rs
+++ b/crates/cherrystream-bench/src/rig.rs
@@ -87,7 +87,7 @@
             phases: Phases::default(),
             key: None,
             interface: Arc::new(OwnInterface),
-            reread: Arc::new(|| None),
+            read_seeds: Arc::new(|| None),
             metrics: metrics.clone(),
             ready: Arc::new(AtomicBool::new(false)),
         };
@@ -152,7 +152,7 @@
         let start = Instant::now();
         while start.elapsed() < START_TIMEOUT {
             let newest = self._control.handle().state.read().revision();
-            if self.daemons.iter().all(|d| d.held().revision() >= newest) {
+            if self.daemons.iter().all(|d| d.current_config().revision() >= newest) {
                 // The tables are made anew right after.
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 return Ok(());
--- a/crates/cherrystream-daemon/src/outbound/server_lists.rs
+++ b/crates/cherrystream-daemon/src/outbound/server_lists.rs
@@ -18,7 +18,7 @@
     pub fn apply_config(&self, current: &CurrentConfig) {
         self.set_routes(current);
         let shared = &current.shared;
-        self.quotas.set(shared, self.routes());
+        self.quotas.apply_config(shared, self.routes());
         let mut lists = self.listed_servers(shared);
         self.add_instances(current, &mut lists);
         let mut canaries = self.split_versions(shared, &mut lists);
--- a/crates/cherrystream-daemon/src/peer_server.rs
+++ b/crates/cherrystream-daemon/src/peer_server.rs
@@ -42,7 +42,7 @@
     /// Detection of requests that crash backend servers.
     pub suspects: Arc<SuspectTracker>,
     /// The current shared state.
-    pub held: Arc<CurrentConfigCell>,
+    pub current_config: Arc<CurrentConfigCell>,
     /// Cache of encoded updates that other daemons can fetch.
     pub update_cache: Arc<Mutex<UpdateCache>>,
     /// Key for the fingerprints of requests and callers.
@@ -88,7 +88,11 @@
             Some(Op::SuspectLift) => self.lift(req).await,
             None => observe::plain(StatusCode::BAD_REQUEST, "this port is for daemons only\n"),
         };
-        headers::set(res.headers_mut(), headers::REVISION, DisplayRevision(self.held.revision()));
+        headers::set(
+            res.headers_mut(),
+            headers::REVISION,
+            DisplayRevision(self.current_config.revision()),
+        );
         res
     }
 
@@ -198,7 +202,7 @@
     fn fetch(&self, headers: &HeaderMap) -> Response<Body> {
         let requester_revision =
             headers::text(headers, &headers::REVISION).and_then(units::parse_revision);
-        let held = self.held.get();
+        let held = self.current_config.get();
         if held.revision <= requester_revision.unwrap_or_default() {
             return observe::plain(StatusCode::NOT_FOUND, "there is no newer state here\n");
         }
--- a/crates/cherrystream-daemon/src/quotas.rs
+++ b/crates/cherrystream-daemon/src/quotas.rs
@@ -53,7 +53,7 @@
 /// Dependencies of [`Quotas`].
 pub struct Dependencies {
     /// The current shared state.
-    pub held: Arc<CurrentConfigCell>,
+    pub current_config: Arc<CurrentConfigCell>,
     /// Connections to other daemons.
     pub peers: Arc<Peers>,
     /// Key shared by the processes of the system.
@@ -95,7 +95,7 @@
     }
 
     /// Applies the daemons and the quotas of a new shared state.
-    pub fn set(&self, shared: &Shared, routes: Arc<RouteIndex>) {
+    pub fn apply_config(&self, shared: &Shared, routes: Arc<RouteIndex>) {
         let mut applied = self.applied.lock();
         let mut policy = self.policy.lock();
         if !applied.routes.as_ref().is_some_and(|known| Arc::ptr_eq(known, &routes)) {
@@ -215,7 +215,7 @@
     }
 
     async fn ask(&self, allocator: &Arc<str>, batch: &LeaseBatch) -> Option<LeaseReply> {
-        let held = self.deps.held.get();
+        let held = self.deps.current_config.get();
         let address = &held.shared.hosts.get(&**allocator)?.peer_address;
         let req = request(address, batch, self.deps.key.as_ref())?;
         let res = self.deps.peers.send(address, req).await.ok()?;
--- a/crates/cherrystream-daemon/src/role.rs
+++ b/crates/cherrystream-daemon/src/role.rs
@@ -57,7 +57,7 @@
     /// Interface to callers and backend servers.
     pub interface: Arc<dyn CallInterface>,
     /// Reads the seeds again when control is unreachable.
-    pub reread: SeedReader,
+    pub read_seeds: SeedReader,
     /// Metrics of the daemon.
     pub metrics: Metrics,
     /// Set while the daemon has the configuration that it needs to serve.
@@ -69,7 +69,7 @@
     callers: JoinHandle<()>,
     peers: JoinHandle<()>,
     inbound: Arc<Inbound>,
-    held: Arc<CurrentConfigCell>,
+    current_config: Arc<CurrentConfigCell>,
 }
 
 impl Daemon {
@@ -85,15 +85,15 @@
         let record = record(all, settings, &peer_listener);
         let fingerprints = FingerprintKey::new(cx.key.as_ref().map(Secret::expose));
         let clock = Clock::default();
-        let held = Arc::new(CurrentConfigCell::default());
+        let current_config = Arc::new(CurrentConfigCell::default());
         let peers = Arc::new(Peers::new(cx.metrics.clone()));
         let newest_peer = Arc::new(NewestPeer::default());
         let routes_only = all.interface == Some(InterfaceKind::Platform);
         let local_servers = Arc::new(local_servers(&record, settings, &cx, clock));
         let suspects = Arc::new(SuspectTracker::new(suspects::Dependencies {
             host: record.host.as_str().into(),
-            doors: local_servers.clone(),
-            held: held.clone(),
+            local_servers: local_servers.clone(),
+            current_config: current_config.clone(),
             peers: peers.clone(),
             key: cx.key.clone(),
             phases: cx.phases.clone(),
@@ -111,7 +111,7 @@
                 ..attempts::Options::default()
             })),
             reservations: Mutex::default(),
-            current_config: held.clone(),
+            current_config: current_config.clone(),
             host: record.host.as_str().into(),
             phases: cx.phases.clone(),
             stall_limit: Duration::from_millis(settings.stall_limit_ms),
@@ -123,7 +123,7 @@
             &record,
             quotas::tolerance(settings),
             quotas::Dependencies {
-                held: held.clone(),
+                current_config: current_config.clone(),
                 peers: peers.clone(),
                 key: cx.key.clone(),
                 clock,
@@ -135,7 +135,7 @@
             host: record.host.as_str().into(),
             record: record.clone(),
             policy: settings.policy.unwrap_or(ChoicePolicy::LowestLoad),
-            current_config: held.clone(),
+            current_config: current_config.clone(),
             balancers: RwLock::default(),
             inbound: inbound.clone(),
             peers: peers.clone(),
@@ -163,7 +163,7 @@
         });
         let update_cache = Arc::new(Mutex::new(UpdateCache::new(UPDATE_CACHE_BYTES)));
         let downloads = Arc::new(Downloads::new(sync::Dependencies {
-            held: held.clone(),
+            current_config: current_config.clone(),
             update_cache: update_cache.clone(),
             peers: peers.clone(),
             record: record.clone(),
@@ -173,14 +173,14 @@
             metrics: cx.metrics.clone(),
         }));
         let sync = Arc::new(Sync {
-            held: held.clone(),
+            current_config: current_config.clone(),
             control: Mutex::new(ReplicaChoice::new(
                 &record.failure_domain,
                 control,
                 record.incarnation,
             )),
             record,
-            read_seeds: cx.reread,
+            read_seeds: cx.read_seeds,
             fixed: settings.seeds.is_none(),
             instances: instances.clone(),
             routes_only,
@@ -195,9 +195,14 @@
             metrics: cx.metrics.clone(),
         });
         // Subscribes before any task can apply an update, so that no revision is missed.
-        let revisions = held.subscribe();
-        tokio::spawn(apply_revisions(revisions, held.clone(), outbound.clone(), inbound.clone()));
-        tokio::spawn(sync.clone().publish_revisions(held.subscribe()));
+        let revisions = current_config.subscribe();
+        tokio::spawn(apply_revisions(
+            revisions,
+            current_config.clone(),
+            outbound.clone(),
+            inbound.clone(),
+        ));
+        tokio::spawn(sync.clone().publish_revisions(current_config.subscribe()));
         tokio::spawn(downloads.run());
         tokio::spawn(sync.clone().run());
         tokio::spawn(sync.follow_peers(newest_peer));
@@ -212,7 +217,7 @@
             inbound: inbound.clone(),
             quotas,
             suspects,
-            held: held.clone(),
+            current_config: current_config.clone(),
             update_cache,
             fingerprints,
             key: cx.key,
@@ -245,7 +250,12 @@
         });
         log::info!("daemon: callers on {}", settings.caller_address);
         log::info!("daemon: peers on {}", settings.peer_address);
-        Ok(Daemon { callers: tokio::spawn(callers), peers: tokio::spawn(peers), inbound, held })
+        Ok(Daemon {
+            callers: tokio::spawn(callers),
+            peers: tokio::spawn(peers),
+            inbound,
+            current_config,
+        })
     }
 
     /// Returns the inbound.
@@ -254,8 +264,8 @@
     }
 
     /// Returns the current shared state.
-    pub fn held(&self) -> &Arc<CurrentConfigCell> {
-        &self.held
+    pub fn current_config(&self) -> &Arc<CurrentConfigCell> {
+        &self.current_config
     }
 
     /// Waits until the last responses are sent. The process must be in the closing phase.
@@ -329,13 +339,13 @@
 /// Applies each new revision to the inbound and outbound sides.
 async fn apply_revisions(
     mut revisions: watch::Receiver<Revision>,
-    held: Arc<CurrentConfigCell>,
+    current_config: Arc<CurrentConfigCell>,
     outbound: Arc<Outbound>,
     inbound: Arc<Inbound>,
 ) {
     let mut was_evacuated = false;
     while revisions.changed().await.is_ok() {
-        let now = held.get();
+        let now = current_config.get();
         let is_evacuated = shared::is_evacuated(&now.shared, &inbound.host);
         if std::mem::replace(&mut was_evacuated, is_evacuated) && !is_evacuated {
             // The backend servers may have become cold without load.
--- a/crates/cherrystream-daemon/src/suspects/dissemination.rs
+++ b/crates/cherrystream-daemon/src/suspects/dissemination.rs
@@ -41,7 +41,7 @@
 
     /// Fetches the records of all peers as soon as there are peers.
     async fn fetch_initial(self: &Arc<Self>) {
-        let mut revisions = self.deps.held.subscribe();
+        let mut revisions = self.deps.current_config.subscribe();
         while self.peers().is_empty() {
             if revisions.changed().await.is_err() {
                 return;
@@ -157,7 +157,7 @@
 
     /// Returns the addresses of the peers that this daemon sends records for all daemons to.
     fn peers(&self) -> Vec<String> {
-        let hosts = &self.deps.held.get().shared.hosts;
+        let hosts = &self.deps.current_config.get().shared.hosts;
         let peers = ring::peers(hosts.keys().map(String::as_str), &self.deps.host);
         let known = peers.into_iter().filter_map(|host| hosts.get(host));
         known.map(|host| host.peer_address.clone()).collect()
@@ -165,7 +165,7 @@
 
     /// Returns the addresses of the other daemons with a backend server of a service.
     fn hosts_of(&self, service: &str) -> Vec<String> {
-        let held = self.deps.held.get();
+        let held = self.deps.current_config.get();
         let mut hosts = hosts_of(&held.shared, service);
         hosts.remove(&*self.deps.host);
         let known = hosts.iter().filter_map(|host| held.shared.hosts.get(*host));
--- a/crates/cherrystream-daemon/src/suspects/in_flight.rs
+++ b/crates/cherrystream-daemon/src/suspects/in_flight.rs
@@ -18,27 +18,27 @@
 
 /// Permit for the one request that may run in isolation at a server; released on drop.
 pub struct IsolationPermit {
-    door: Arc<LocalServer>,
+    server: Arc<LocalServer>,
 }
 
 impl IsolationPermit {
     /// Acquires the permit, if it is free.
-    pub fn try_acquire(door: &Arc<LocalServer>) -> Option<IsolationPermit> {
-        let is_free = door.crash_detector().begin_isolated();
-        is_free.then(|| IsolationPermit { door: door.clone() })
+    pub fn try_acquire(server: &Arc<LocalServer>) -> Option<IsolationPermit> {
+        let is_free = server.crash_detector().begin_isolated();
+        is_free.then(|| IsolationPermit { server: server.clone() })
     }
 }
 
 impl Drop for IsolationPermit {
     fn drop(&mut self) {
-        self.door.crash_detector().end_isolated();
+        self.server.crash_detector().end_isolated();
     }
 }
 
 /// A request in flight. Dropping it without an outcome records that its caller disconnected.
 pub struct InFlightRequest {
     tracker: Arc<SuspectTracker>,
-    door: Arc<LocalServer>,
+    server: Arc<LocalServer>,
     sent: SentRequest,
     sent_at: Timestamp,
     ticket: Ticket,
@@ -50,17 +50,17 @@
     /// Records that a request is sent to the backend server.
     pub fn begin(
         tracker: &Arc<SuspectTracker>,
-        door: &Arc<LocalServer>,
+        server: &Arc<LocalServer>,
         identity: Identity,
         permit: Option<IsolationPermit>,
     ) -> InFlightRequest {
         let sent_at = tracker.deps.clock.now();
         InFlightRequest {
             tracker: tracker.clone(),
-            door: door.clone(),
+            server: server.clone(),
             sent: SentRequest { identity, isolated: permit.is_some() },
             sent_at,
-            ticket: door.crash_detector().begin(sent_at),
+            ticket: server.crash_detector().begin(sent_at),
             is_settled: false,
             _permit: permit,
         }
@@ -70,16 +70,16 @@
     /// before the point at which it would crash the server, as when a nested call fails.
     pub fn answered(mut self, failed: bool) {
         self.is_settled = true;
-        self.door.crash_detector().on_answer(self.sent_at);
+        self.server.crash_detector().on_answer(self.sent_at);
         if !failed {
-            self.tracker.on_answer(&self.door, self.sent.identity.request);
+            self.tracker.on_answer(&self.server, self.sent.identity.request);
         }
     }
 
     /// Records that the server did not run the request; the server or its successor is alive.
     pub fn not_run(mut self) {
         self.is_settled = true;
-        self.door.crash_detector().on_answer(self.sent_at);
+        self.server.crash_detector().on_answer(self.sent_at);
     }
 
     /// Discards the request: it was not sent, or the response belongs to another request.
@@ -91,24 +91,24 @@
     pub fn connection_broken(mut self) {
         self.is_settled = true;
         let now = self.tracker.deps.clock.now();
-        self.door.crash_detector().finish(self.ticket);
-        let crash = self.door.crash_detector().on_connection_broken(now, self.sent_at, self.sent);
+        self.server.crash_detector().finish(self.ticket);
+        let crash = self.server.crash_detector().on_connection_broken(now, self.sent_at, self.sent);
         match crash {
-            Some(crash) if !self.tracker.is_planned(&self.door) => {
-                self.tracker.on_crash(&self.door, &crash);
+            Some(crash) if !self.tracker.is_planned(&self.server) => {
+                self.tracker.on_crash(&self.server, &crash);
             }
             Some(_) => {}
-            None => self.tracker.check_for_crash(&self.door),
+            None => self.tracker.check_for_crash(&self.server),
         }
     }
 }
 
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        self.door.crash_detector().finish(self.ticket);
+        self.server.crash_detector().finish(self.ticket);
         if !self.is_settled {
             let now = self.tracker.deps.clock.now();
-            self.door.crash_detector().on_caller_disconnected(now, self.sent_at, self.sent);
+            self.server.crash_detector().on_caller_disconnected(now, self.sent_at, self.sent);
         }
     }
 }
@@ -116,37 +116,37 @@
 impl SuspectTracker {
     /// Checks in the background whether a backend server has crashed, if connections to it have
     /// broken and no check is running.
-    pub fn check_for_crash(self: &Arc<Self>, door: &Arc<LocalServer>) {
-        if door.crash_detector().begin_probe(self.deps.clock.now()) {
-            let (tracker, door) = (self.clone(), door.clone());
+    pub fn check_for_crash(self: &Arc<Self>, server: &Arc<LocalServer>) {
+        if server.crash_detector().begin_probe(self.deps.clock.now()) {
+            let (tracker, server) = (self.clone(), server.clone());
             tokio::spawn(async move {
-                if tracker.has_crashed(&door).await {
-                    tracker.on_crash_detected(&door);
+                if tracker.has_crashed(&server).await {
+                    tracker.on_crash_detected(&server);
                 }
-                door.crash_detector().end_probe();
+                server.crash_detector().end_probe();
             });
         }
     }
 
-    async fn has_crashed(&self, door: &Arc<LocalServer>) -> bool {
+    async fn has_crashed(&self, server: &Arc<LocalServer>) -> bool {
         let mut any_kept = false;
         for delay in PROBE_DELAYS {
             tokio::time::sleep(delay).await;
-            if !door.crash_detector().has_unexplained(self.deps.clock.now()) {
+            if !server.crash_detector().has_unexplained(self.deps.clock.now()) {
                 return false;
             }
-            let probe = door.backend.probe().await;
+            let probe = server.backend.probe().await;
             any_kept |= probe == Probe::Kept;
-            if probe == Probe::Refused && !door.crash_detector().has_survivor() {
+            if probe == Probe::Refused && !server.crash_detector().has_survivor() {
                 return true;
             }
         }
         // A proxy in front of the server accepts connections while it is down, and closes them.
-        if !any_kept && !door.crash_detector().has_survivor() {
+        if !any_kept && !server.crash_detector().has_survivor() {
             return true;
         }
-        while door.crash_detector().has_unexplained(self.deps.clock.now()) {
-            if self.is_replaced(door) {
+        while server.crash_detector().has_unexplained(self.deps.clock.now()) {
+            if self.is_replaced(server) {
                 return true;
             }
             tokio::time::sleep(SUCCESSOR_CHECK_INTERVAL).await;
@@ -155,21 +155,22 @@
     }
 
     /// Returns whether another instance has replaced a backend server that reported itself.
-    fn is_replaced(&self, door: &Arc<LocalServer>) -> bool {
-        let listed = self.deps.doors.listed().iter().any(|known| Arc::ptr_eq(known, door));
-        let instance = self.deps.doors.instance();
-        !listed && instance.is_some_and(|now| !Arc::ptr_eq(&now, door))
+    fn is_replaced(&self, server: &Arc<LocalServer>) -> bool {
+        let listed =
+            self.deps.local_servers.listed().iter().any(|known| Arc::ptr_eq(known, server));
+        let instance = self.deps.local_servers.instance();
+        !listed && instance.is_some_and(|now| !Arc::ptr_eq(&now, server))
     }
 
-    fn on_crash_detected(self: &Arc<Self>, door: &Arc<LocalServer>) {
+    fn on_crash_detected(self: &Arc<Self>, server: &Arc<LocalServer>) {
         let now = self.deps.clock.now();
-        if self.is_planned(door) {
-            door.crash_detector().on_planned_stop();
+        if self.is_planned(server) {
+            server.crash_detector().on_planned_stop();
             return;
         }
-        let crash = door.crash_detector().on_crash(now, CrashId(rand::random()));
+        let crash = server.crash_detector().on_crash(now, CrashId(rand::random()));
         if let Some(crash) = crash {
-            self.on_crash(door, &crash);
+            self.on_crash(server, &crash);
         }
     }
 }
--- a/crates/cherrystream-daemon/src/suspects/mod.rs
+++ b/crates/cherrystream-daemon/src/suspects/mod.rs
@@ -40,9 +40,9 @@
     /// Name of this host.
     pub host: Arc<str>,
     /// Backend servers of this host.
-    pub doors: Arc<LocalServers>,
+    pub local_servers: Arc<LocalServers>,
     /// The current shared state.
-    pub held: Arc<CurrentConfigCell>,
+    pub current_config: Arc<CurrentConfigCell>,
     /// Connections to other daemons.
     pub peers: Arc<Peers>,
     /// Key shared by the processes of the system.
@@ -83,7 +83,7 @@
     }
 
     /// Records the complete response to a request at a backend server.
-    fn on_answer(self: &Arc<Self>, door: &LocalServer, request: Fingerprint) {
+    fn on_answer(self: &Arc<Self>, server: &LocalServer, request: Fingerprint) {
         let now = self.deps.clock.now();
         let mut table = self.table.lock();
         let previous = table.treatment(now, request);
@@ -94,21 +94,21 @@
             self.deps.metrics.suspects_cleared.inc();
             log::info!("suspect: mark={request} standing=clear by=answer");
         }
-        self.clone().disseminate(Some(door.id.service.clone()), vec![(audience, record)]);
+        self.clone().disseminate(Some(server.id.service.clone()), vec![(audience, record)]);
     }
 
     /// Records the crash of a backend server.
-    fn on_crash(self: &Arc<Self>, door: &LocalServer, crash: &Crash) {
+    fn on_crash(self: &Arc<Self>, server: &LocalServer, crash: &Crash) {
         self.deps.metrics.ends_at_work.inc();
         let now = self.deps.clock.now();
         let changes = self.table.lock().on_crash(now, crash);
         for (_, record) in &changes {
-            self.log_crash(now, door, crash, record);
+            self.log_crash(now, server, crash, record);
         }
-        self.clone().disseminate(Some(door.id.service.clone()), changes);
+        self.clone().disseminate(Some(server.id.service.clone()), changes);
     }
 
-    fn log_crash(&self, now: Timestamp, door: &LocalServer, crash: &Crash, record: &Record) {
+    fn log_crash(&self, now: Timestamp, server: &LocalServer, crash: &Crash, record: &Record) {
         let Some(dropped) = self.log.lock().take(now, true) else { return };
         let Record { request, caller, ends, .. } = record;
         let status = self.status(now, *request);
@@ -116,7 +116,7 @@
             "suspect: mark={request} caller={:016x} server={} end={:016x} at_work={} ends={} ends_alone={} standing={} \
              lines_dropped={dropped}",
             caller.0,
-            door.id.name,
+            server.id.name,
             crash.id.0,
             crash.in_flight.len(),
             ends.len(),
@@ -135,8 +135,8 @@
     }
 
     /// Returns whether the stop of a backend server is planned: it is draining, or its host is.
-    fn is_planned(&self, door: &LocalServer) -> bool {
-        door.is_draining() || self.deps.phases.now() >= Phase::Draining
+    fn is_planned(&self, server: &LocalServer) -> bool {
+        server.is_draining() || self.deps.phases.now() >= Phase::Draining
     }
 
     fn update_metrics(&self) {
--- a/crates/cherrystream-daemon/src/sync/downloads.rs
+++ b/crates/cherrystream-daemon/src/sync/downloads.rs
@@ -68,7 +68,7 @@
 /// Dependencies of [`Downloads`].
 pub struct Dependencies {
     /// The current shared state.
-    pub held: Arc<CurrentConfigCell>,
+    pub current_config: Arc<CurrentConfigCell>,
     /// Cache of encoded updates that other daemons can fetch.
     pub update_cache: Arc<Mutex<UpdateCache>>,
     /// Connections to peers.
@@ -206,7 +206,7 @@
     /// Returns the next chunk to request, and its source.
     fn next(&self, piece_size: &PieceSize) -> Option<(ChunkRequest, Source)> {
         let mut job = self.job.lock();
-        let held = self.deps.held.revision();
+        let held = self.deps.current_config.revision();
         // The current state may have overtaken the download.
         if job.as_ref().is_some_and(|job| job.download.id().to <= held) {
             *job = None;
@@ -323,7 +323,7 @@
         self.count_download("whole");
         let (from, shown) = (DisplayRevision(from), DisplayRevision(to));
         log::info!("sync: fetched {shown} since {from}: {bytes} bytes in {took:?}");
-        self.deps.held.apply(update);
+        self.deps.current_config.apply(update);
         self.notify_ended();
     }
 
@@ -334,7 +334,7 @@
     /// Returns how long to pause after a chunk, to leave bandwidth for requests. A daemon without
     /// a configuration serves none and does not pause.
     fn pause(&self, bytes: usize, took: Duration) -> Duration {
-        if self.deps.held.revision() == Revision::default() {
+        if self.deps.current_config.revision() == Revision::default() {
             return Duration::ZERO;
         }
         let now = self.deps.clock.now();
--- a/crates/cherrystream-daemon/src/sync/mod.rs
+++ b/crates/cherrystream-daemon/src/sync/mod.rs
@@ -58,7 +58,7 @@
 /// Replicates the shared state from control and from peers.
 pub struct Sync {
     /// The current shared state.
-    pub held: Arc<CurrentConfigCell>,
+    pub current_config: Arc<CurrentConfigCell>,
     /// Registration of this host.
     pub record: HostRecord,
     /// The control replicas. Never locked together with another lock.
@@ -153,7 +153,7 @@
     /// Records until when a confirmation by control is valid.
     fn record_confirmation(&self, state_age: Duration) {
         let until = self.clock.now() + CONFIRMATION_TTL.saturating_sub(state_age);
-        self.held.extend_canary_lease(until);
+        self.current_config.extend_canary_lease(until);
     }
 
     /// Sends heartbeats until the daemon has to leave the replica, and returns why. It leaves a
@@ -230,7 +230,8 @@
         match answered {
             Ok(reply) => self.count_call("answered", CallOutcome::Answered(Box::new(reply))),
             Err(e) => {
-                let (took, held) = (started.elapsed(), DisplayRevision(self.held.revision()));
+                let (took, held) =
+                    (started.elapsed(), DisplayRevision(self.current_config.revision()));
                 let reason = format!("{e} after {took:?}, at {held}");
                 self.count_call("failed", CallOutcome::Failed { reason, took })
             }
@@ -249,7 +250,7 @@
     fn heartbeat(&self, leaving: bool, confirmed: bool) -> SyncRequest {
         SyncRequest {
             record: HostRecord { leaving, ..self.record.clone() },
-            held: self.held.revision(),
+            held: self.current_config.revision(),
             confirmed: !confirmed,
             wait_ms: self.wait().as_millis() as u64,
             instance: self.instances.current(),
@@ -275,7 +276,7 @@
 
     /// Counts replies of replicas that are behind this daemon.
     fn record_lag(&self, newest: Revision) {
-        let held = self.held.revision();
+        let held = self.current_config.revision();
         if newest < held {
             self.metrics.lagging_answers.inc();
             let (theirs, held) = (DisplayRevision(newest), DisplayRevision(held));
@@ -286,7 +287,7 @@
     fn apply(&self, update: Update, from: &'static str) {
         let revision = update.revision;
         let (changes, whole) = (update.changes.len(), update.full.is_some());
-        if self.held.apply(update) {
+        if self.current_config.apply(update) {
             let shown = DisplayRevision(revision);
             log::info!("sync: revision {shown} from {from}: {changes} changes, whole: {whole}");
             self.metrics.updates.get_or_create(&ReasonLabel { reason: from }).inc();
@@ -296,7 +297,7 @@
     /// Publishes each new revision in the metrics and updates readiness.
     pub async fn publish_revisions(self: Arc<Self>, mut revisions: watch::Receiver<Revision>) {
         while revisions.changed().await.is_ok() {
-            let CurrentConfig { revision, routes, .. } = self.held.get();
+            let CurrentConfig { revision, routes, .. } = self.current_config.get();
             self.metrics.revision_index.set(revision.index as i64);
             self.metrics.revision_term.set(revision.term as i64);
             let serves = !self.routes_only || routes.is_some();
@@ -329,7 +330,7 @@
     async fn ask_seed_peers(&self) {
         for address in &self.seeds {
             if let Some(offer) = self.request_offer(address).await
-                && offer.id.to > self.held.revision()
+                && offer.id.to > self.current_config.revision()
                 && !self.downloads.is_fetching(offer.id.to)
             {
                 self.metrics.unconfirmed.set(1);
@@ -345,11 +346,11 @@
             // Control announces most changes itself, at a lower cost.
             tokio::time::sleep(PEER_FETCH_DELAY).await;
             let Some(PeerRevision { address, revision, .. }) = newest_peer.take() else { continue };
-            if revision <= self.held.revision() || self.is_expected(revision) {
+            if revision <= self.current_config.revision() || self.is_expected(revision) {
                 continue;
             }
             if let Some(offer) = self.request_offer(&address).await
-                && offer.id.to > self.held.revision()
+                && offer.id.to > self.current_config.revision()
                 && !self.is_expected(offer.id.to)
             {
                 self.downloads.begin_from(&address, offer);
@@ -370,7 +371,11 @@
     /// Requests an offer of the state that a peer has.
     async fn request_offer(&self, address: &str) -> Option<Offer> {
         let mut req = downloads::request(address, Op::Fetch, self.key.as_ref())?;
-        headers::set(req.headers_mut(), headers::REVISION, DisplayRevision(self.held.revision()));
+        headers::set(
+            req.headers_mut(),
+            headers::REVISION,
+            DisplayRevision(self.current_config.revision()),
+        );
         let fetch = async {
             let res = self.peers.send(address, req).await.ok()?;
             match body::read_start(res.into_body(), MAX_OFFER_BYTES).await {
--- a/crates/cherrystream-daemon/tests/hedging.rs
+++ b/crates/cherrystream-daemon/tests/hedging.rs
@@ -189,7 +189,7 @@
             phases: phases.clone(),
             key: None,
             interface: Arc::new(OwnInterface),
-            reread: Arc::new(|| None),
+            read_seeds: Arc::new(|| None),
             metrics: Default::default(),
             ready: Arc::new(AtomicBool::new(false)),
         };
@@ -200,7 +200,7 @@
     }
 
     fn apply(&self, index: u64, state: Shared) {
-        self.daemon.held().apply(Update {
+        self.daemon.current_config().apply(Update {
             revision: Revision { term: 1, index },
             changes: Vec::new(),
             full: Some(state),
--- a/crates/cherrystream-daemon/tests/keys.rs
+++ b/crates/cherrystream-daemon/tests/keys.rs
@@ -181,7 +181,7 @@
             phases: Phases::default(),
             key: None,
             interface: Arc::new(OwnInterface),
-            reread: Arc::new(|| None),
+            read_seeds: Arc::new(|| None),
             metrics: Default::default(),
             ready: Arc::new(AtomicBool::new(false)),
         };
@@ -201,7 +201,7 @@
         let index = self.revision.fetch_add(1, Ordering::SeqCst) + 1;
         let revision = Revision { term: 1, index };
         let update = Update { revision, changes: Vec::new(), full: Some(state) };
-        assert!(self.daemon.held().apply(update));
+        assert!(self.daemon.current_config().apply(update));
         // Applied once a request to a path without a route gets the status that the key leads to.
         for _ in 0..1_000 {
             let wanted = if workspace == "nobody" { 401 } else { 404 };
--- a/crates/cherrystream-daemon/tests/late_answers.rs
+++ b/crates/cherrystream-daemon/tests/late_answers.rs
@@ -108,7 +108,7 @@
         phases: Phases::default(),
         key: None,
         interface: Arc::new(OwnInterface),
-        reread: Arc::new(|| None),
+        read_seeds: Arc::new(|| None),
         metrics: Default::default(),
         ready: Arc::new(AtomicBool::new(false)),
     };
@@ -130,7 +130,7 @@
         leaving: false,
     };
     state.hosts.insert("own".into(), host);
-    daemon.held().apply(Update {
+    daemon.current_config().apply(Update {
         revision: Revision { term: 1, index: 1 },
         changes: Vec::new(),
         full: Some(state),
--- a/crates/cherrystream-daemon/tests/quotas.rs
+++ b/crates/cherrystream-daemon/tests/quotas.rs
@@ -72,7 +72,7 @@
         phases: Phases::default(),
         key: None,
         interface: Arc::new(cherrystream_daemon::own_interface::OwnInterface),
-        reread: Arc::new(|| None),
+        read_seeds: Arc::new(|| None),
         metrics: Metrics::default(),
         ready: Arc::new(AtomicBool::new(false)),
     };
@@ -103,7 +103,7 @@
     let held = Arc::new(CurrentConfigCell::default());
     assert!(held.apply(update(addresses)));
     let deps = Dependencies {
-        held: held.clone(),
+        current_config: held.clone(),
         peers: Arc::new(Peers::new(metrics.clone())),
         key: None,
         clock: Clock::default(),
@@ -117,7 +117,7 @@
     let quotas = Arc::new(Quotas::new(&own, quotas::tolerance(&settings), deps));
     let now = held.get();
     let routes = RouteIndex::new(now.routes.as_deref(), &now.shared.config);
-    quotas.set(&now.shared, Arc::new(routes));
+    quotas.apply_config(&now.shared, Arc::new(routes));
     tokio::spawn(quotas.clone().run());
     (quotas, metrics)
 }
@@ -127,7 +127,7 @@
     let mut daemons = Vec::new();
     for (n, address) in addresses.iter().enumerate().take(HOSTS - 1) {
         let daemon = daemon(n, address).await;
-        assert!(daemon.held().apply(update(&addresses)));
+        assert!(daemon.current_config().apply(update(&addresses)));
         daemons.push(daemon);
     }
     // Waits until each daemon has applied the state.
--- a/crates/cherrystream-daemon/tests/regions.rs
+++ b/crates/cherrystream-daemon/tests/regions.rs
@@ -143,12 +143,12 @@
         phases: Phases::default(),
         key: None,
         interface: Arc::new(OwnInterface),
-        reread: Arc::new(|| None),
+        read_seeds: Arc::new(|| None),
         metrics: Default::default(),
         ready: Arc::new(AtomicBool::new(false)),
     };
     let daemon = Daemon::start(&all, all.daemon.as_ref().unwrap(), cx).await.unwrap();
-    daemon.held().apply(Update {
+    daemon.current_config().apply(Update {
         revision: Revision { term: 1, index: 1 },
         changes: Vec::new(),
         full: Some(state),
--- a/crates/cherrystream-daemon/tests/successors.rs
+++ b/crates/cherrystream-daemon/tests/successors.rs
@@ -29,8 +29,8 @@
         changes: Vec::new(),
         full: Some(shared::empty()),
     };
-    assert!(daemon.held().apply(update));
-    daemon.inbound().local_servers.apply_config(&daemon.held().get());
+    assert!(daemon.current_config().apply(update));
+    daemon.inbound().local_servers.apply_config(&daemon.current_config().get());
     daemon
 }
 
@@ -42,7 +42,7 @@
         phases: Phases::default(),
         key: None,
         interface: Arc::new(OwnInterface),
-        reread: Arc::new(|| None),
+        read_seeds: Arc::new(|| None),
         metrics: Default::default(),
         ready: Arc::new(AtomicBool::new(false)),
     };
--- a/crates/cherrystream/src/site.rs
+++ b/crates/cherrystream/src/site.rs
@@ -38,7 +38,7 @@
     /// # Errors
     ///
     /// Fails when a folder, key or address cannot be used.
-    pub async fn start(settings: &Settings, reread: SeedReader) -> Result<Site> {
+    pub async fn start(settings: &Settings, read_seeds: SeedReader) -> Result<Site> {
         let phases = Phases::default();
         let key = settings.key_file.as_deref().map(Secret::read).transpose()?;
         let mut registry = Registry::default();
@@ -64,8 +64,14 @@
                 let metrics = cherrystream_daemon::metrics::Metrics::default();
                 metrics.register(&mut registry);
                 let (phases, ready) = (phases.clone(), ready.clone());
-                let cx =
-                    daemon_role::Context { phases, key, interface: calls, reread, metrics, ready };
+                let cx = daemon_role::Context {
+                    phases,
+                    key,
+                    interface: calls,
+                    read_seeds,
+                    metrics,
+                    ready,
+                };
                 Some(Daemon::start(settings, daemon, cx).await?)
             }
             None => None,
