--- a/crates/cherrystream-control/src/rpc_server.rs
+++ b/crates/cherrystream-control/src/rpc_server.rs
@@ -1,13 +1,13 @@
 //! The RPC interface of this replica: for daemons, and for the other replicas.
 
-use crate::arrivals::Arrivals;
+use crate::daemon_registry::DaemonRegistry;
 use crate::distribution::{Distribution, Lacking};
 use crate::errors::{Error, Result};
 use crate::handle::{Event, Handle, NoResult};
+use crate::incoming_transfers::IncomingTransfers;
 use crate::metrics::Metrics;
 use crate::operators::Operators;
 use crate::peers::Line;
-use crate::reach::Reach;
 use crate::registrar::Registrar;
 use crate::rollouts::Rollouts;
 use cherrystream_core::instances;
@@ -63,7 +63,7 @@
     /// Lines to the other replicas.
     pub lines: Arc<BTreeMap<u64, Arc<Line>>>,
     /// Daemons heard.
-    pub reach: Arc<Reach>,
+    pub reach: Arc<DaemonRegistry>,
     /// Updates for daemons.
     pub distribution: Arc<Distribution>,
     /// Operators' calls.
@@ -73,7 +73,7 @@
     /// Roll-outs that are under way.
     pub rollouts: Rollouts,
     /// Long messages on their way here.
-    pub arrivals: Arrivals,
+    pub arrivals: IncomingTransfers,
     /// Limits of the ledger.
     pub limits: LedgerLimits,
     /// Failure domain of this host, where replicas come and go.
@@ -249,14 +249,14 @@
 #[async_trait]
 impl ControlRpcServer for RpcServer {
     async fn raft(&self, messages: Vec<RaftMessage>) -> RpcResult<()> {
-        self.arrivals.tidy(self.handle.clock.now());
+        self.arrivals.discard_stalled(self.handle.clock.now());
         let sent = self.handle.events.send(Event::Messages(messages));
         sent.map_err(|_| rpc::unavailable("this replica has stopped"))
     }
 
     async fn sync(&self, req: SyncRequest) -> RpcResult<SyncReply> {
         self.metrics.heartbeats.inc();
-        self.reach.hear(self.handle.clock.now(), &req);
+        self.reach.record_heartbeat(self.handle.clock.now(), &req);
         if let Some(tally) = req.tally.clone() {
             let HostRecord { host, incarnation, .. } = req.record.clone();
             self.rollouts.hear(HostTally { host, incarnation, tally });
@@ -373,7 +373,7 @@
             return Err(rpc::unavailable("this replica knows no such sender"));
         }
         let from = piece.from;
-        match self.arrivals.take(self.handle.clock.now(), piece).await {
+        match self.arrivals.receive(self.handle.clock.now(), piece).await {
             Ok(held) => Ok(PieceReply { held }),
             Err(e) => {
                 log::debug!("control: a piece of replica {from} is refused: {e}");
