--- a/crates/cherrystream-daemon/src/inbound/mod.rs
+++ b/crates/cherrystream-daemon/src/inbound/mod.rs
@@ -10,7 +10,7 @@
 use crate::local_servers::LocalServers;
 use crate::metrics::{self, Metrics, ServerLabel};
 use crate::refusal::Refused;
-use crate::suspects::{AlonePlace, SuspectWatch};
+use crate::suspects::{IsolationPermit, SuspectTracker};
 use attempt::Attempt;
 use bytes::Bytes;
 use cherrystream_core::admission::{Arrival, Flow};
@@ -116,7 +116,7 @@
     /// Backend servers of this host.
     pub local_servers: Arc<LocalServers>,
     pub(crate) interface: Arc<dyn CallInterface>,
-    pub(crate) suspects: Arc<SuspectWatch>,
+    pub(crate) suspects: Arc<SuspectTracker>,
     pub(crate) attempts: Mutex<Attempts<CachedAnswer>>,
     /// Slots reserved for calls whose bodies follow. Never locked together with the admission of a
     /// backend server.
@@ -279,8 +279,8 @@
         &self,
         server: &Arc<LocalServer>,
         call: &InboundCall,
-    ) -> Result<Option<AlonePlace>, Refused> {
-        let must_be_isolated = match self.suspects.judge(call.identity.request) {
+    ) -> Result<Option<IsolationPermit>, Refused> {
+        let must_be_isolated = match self.suspects.treatment(call.identity.request) {
             Treatment::Quarantined(retry_after) => {
                 return Err(Refused { retry_after, ..self.refuse(Reason::HeldBack) });
             }
@@ -294,7 +294,8 @@
         if !call.alone {
             return Ok(None);
         }
-        let place = AlonePlace::take(server).ok_or_else(|| self.refuse(Reason::RunsAlone))?;
+        let place =
+            IsolationPermit::try_acquire(server).ok_or_else(|| self.refuse(Reason::RunsAlone))?;
         Ok(Some(place))
     }
 
--- a/crates/cherrystream-daemon/src/outbound/mod.rs
+++ b/crates/cherrystream-daemon/src/outbound/mod.rs
@@ -22,8 +22,8 @@
 use crate::quotas::Quotas;
 use crate::refusal::Refused;
 use crate::request_log::{RequestLog, RequestSummary};
-use crate::suspects::SuspectWatch;
-use crate::sync::Newer;
+use crate::suspects::SuspectTracker;
+use crate::sync::NewestPeer;
 use canaries::Canary;
 use cherrystream_core::choose::{Server, ServerTable};
 use cherrystream_core::elapsed_time::ElapsedTimeEstimator;
@@ -98,9 +98,9 @@
     pub(crate) inbound: Arc<Inbound>,
     pub(crate) peers: Arc<Peers>,
     pub(crate) quotas: Arc<Quotas>,
-    pub(crate) suspects: Arc<SuspectWatch>,
+    pub(crate) suspects: Arc<SuspectTracker>,
     pub(crate) ledger: Arc<LedgerClient>,
-    pub(crate) newer: Arc<Newer>,
+    pub(crate) newest_peer: Arc<NewestPeer>,
     pub(crate) retries: RetryOptions,
     pub(crate) crossing_cost: Duration,
     pub(crate) request_log: RequestLog,
--- a/crates/cherrystream-daemon/src/outbound/send.rs
+++ b/crates/cherrystream-daemon/src/outbound/send.rs
@@ -6,10 +6,10 @@
 use crate::headers::{self, Op};
 use crate::hop;
 use crate::inbound::{InboundCall, MAX_CACHED_BYTES};
-use crate::peer::{Line, NoAnswer};
+use crate::peer::{NoAnswer, PeerConnection};
 use crate::peer_server::ClaimHeader;
 use crate::refusal::Refused;
-use crate::sync::Seen;
+use crate::sync::PeerRevision;
 use cherrystream_core::attempts::{Claimed, RequestKey};
 use cherrystream_core::choose::{CallId, Distance, Server, ServerId};
 use cherrystream_core::reasons::{Outcome, Reason};
@@ -171,9 +171,9 @@
 
     /// Returns a connection to a peer. Nothing of the request is sent meanwhile, so it has provably
     /// not run if the deadline passes.
-    async fn connect(&self, call: &Call, address: &str) -> Result<Line, Refused> {
+    async fn connect(&self, call: &Call, address: &str) -> Result<PeerConnection, Refused> {
         let remaining = call.deadline.remaining(self.clock.now()).unwrap_or_default();
-        match tokio::time::timeout(remaining, self.peers.line(address)).await {
+        match tokio::time::timeout(remaining, self.peers.connect(address)).await {
             Ok(line) => line.ok_or(Refused::new(Reason::PeerUnreachable)),
             Err(_) => Err(Refused::new(Reason::DeadlineBeforeStart)),
         }
@@ -272,7 +272,7 @@
             .filter(|revision| *revision > self.current_config.revision())
         {
             let near = matches!(server.distance, Distance::SameHost | Distance::SameDomain);
-            self.newer.see(Seen { address: address.into(), revision, near });
+            self.newest_peer.record(PeerRevision { address: address.into(), revision, near });
         }
         let mut head = hop::read_answer(map).filter(|head| head.call == call.id)?;
         if let Some(report) = head.report.take() {
--- a/crates/cherrystream-daemon/src/outbound/server_lists.rs
+++ b/crates/cherrystream-daemon/src/outbound/server_lists.rs
@@ -18,7 +18,7 @@
     pub fn apply_config(&self, current: &CurrentConfig) {
         self.set_routes(current);
         let shared = &current.shared;
-        self.quotas.set(shared, self.routes());
+        self.quotas.apply_config(shared, self.routes());
         let mut lists = self.listed_servers(shared);
         self.add_instances(current, &mut lists);
         let mut canaries = self.split_versions(shared, &mut lists);
@@ -40,7 +40,7 @@
             balancer.hedges.bound(MAX_SAVED_HEDGES);
         }
         drop(balancers);
-        self.peers.keep_only(|address| shared.hosts.values().any(|h| h.peer_address == address));
+        self.peers.retain(|address| shared.hosts.values().any(|h| h.peer_address == address));
     }
 
     /// Builds the index of routes and workspaces. It is rebuilt only when these change, as tables
--- a/crates/cherrystream-daemon/src/role.rs
+++ b/crates/cherrystream-daemon/src/role.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of the daemon role together.
+//! Creates and starts the components of the daemon role.
 
 use crate::current_config::CurrentConfigCell;
 use crate::errors::Result;
@@ -13,8 +13,8 @@
 use crate::peer_server::PeerServer;
 use crate::quotas::{self, Quotas};
 use crate::request_log::RequestLog;
-use crate::suspects::{self, SuspectWatch};
-use crate::sync::{Downloads, Newer, Sync, Tools};
+use crate::suspects::{self, SuspectTracker};
+use crate::sync::{self, Downloads, NewestPeer, Sync};
 use cherrystream_core::attempts::{self, Attempts};
 use cherrystream_core::distribution::UpdateCache;
 use cherrystream_core::replica_choice::ReplicaChoice;
@@ -41,25 +41,26 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Bytes of encoded updates that other daemons may fetch here: twice a whole state with 14,000 routes.
-const LIBRARY_BYTES: u64 = 1 << 20;
+/// Size of the cache of encoded updates that other daemons can fetch: twice a full state with
+/// 14,000 routes.
+const UPDATE_CACHE_BYTES: u64 = 1 << 20;
 
-/// Tells the RPC addresses of the seeds that the settings name at that moment.
+/// Returns the RPC addresses of the seeds that the settings currently name.
 pub type SeedReader = Arc<dyn Fn() -> Option<Vec<String>> + Send + std::marker::Sync>;
 
-/// What the daemon role needs besides its settings.
+/// Dependencies of the daemon role besides its settings.
 pub struct Context {
     /// Phase of the process.
     pub phases: Phases,
-    /// Key of the system's own processes.
+    /// Key shared by the processes of the system.
     pub key: Option<Secret>,
     /// Interface to callers and backend servers.
     pub interface: Arc<dyn CallInterface>,
-    /// Reads the seeds again when control is lost.
-    pub reread: SeedReader,
-    /// Metrics.
+    /// Reads the seeds again when control is unreachable.
+    pub read_seeds: SeedReader,
+    /// Metrics of the daemon.
     pub metrics: Metrics,
-    /// Set once a configuration is held.
+    /// Set while the daemon has the configuration that it needs to serve.
     pub ready: Arc<AtomicBool>,
 }
 
@@ -68,7 +69,7 @@
     callers: JoinHandle<()>,
     peers: JoinHandle<()>,
     inbound: Arc<Inbound>,
-    held: Arc<CurrentConfigCell>,
+    current_config: Arc<CurrentConfigCell>,
 }
 
 impl Daemon {
@@ -76,7 +77,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when an address cannot be listened on.
+    /// Fails when a listener cannot be bound to its address.
     pub async fn start(all: &Settings, settings: &DaemonSettings, cx: Context) -> Result<Daemon> {
         let control = control_addresses(settings);
         let caller_listener = serve::listen(&settings.caller_address).await?;
@@ -84,15 +85,15 @@
         let record = record(all, settings, &peer_listener);
         let fingerprints = FingerprintKey::new(cx.key.as_ref().map(Secret::expose));
         let clock = Clock::default();
-        let held = Arc::new(CurrentConfigCell::default());
+        let current_config = Arc::new(CurrentConfigCell::default());
         let peers = Arc::new(Peers::new(cx.metrics.clone()));
-        let newer = Arc::new(Newer::default());
+        let newest_peer = Arc::new(NewestPeer::default());
         let routes_only = all.interface == Some(InterfaceKind::Platform);
         let local_servers = Arc::new(local_servers(&record, settings, &cx, clock));
-        let suspects = Arc::new(SuspectWatch::new(suspects::Tools {
+        let suspects = Arc::new(SuspectTracker::new(suspects::Dependencies {
             host: record.host.as_str().into(),
-            doors: local_servers.clone(),
-            held: held.clone(),
+            local_servers: local_servers.clone(),
+            current_config: current_config.clone(),
             peers: peers.clone(),
             key: cx.key.clone(),
             phases: cx.phases.clone(),
@@ -110,7 +111,7 @@
                 ..attempts::Options::default()
             })),
             reservations: Mutex::default(),
-            current_config: held.clone(),
+            current_config: current_config.clone(),
             host: record.host.as_str().into(),
             phases: cx.phases.clone(),
             stall_limit: Duration::from_millis(settings.stall_limit_ms),
@@ -121,8 +122,8 @@
         let quotas = Arc::new(Quotas::new(
             &record,
             quotas::tolerance(settings),
-            quotas::Tools {
-                held: held.clone(),
+            quotas::Dependencies {
+                current_config: current_config.clone(),
                 peers: peers.clone(),
                 key: cx.key.clone(),
                 clock,
@@ -134,14 +135,14 @@
             host: record.host.as_str().into(),
             record: record.clone(),
             policy: settings.policy.unwrap_or(ChoicePolicy::LowestLoad),
-            current_config: held.clone(),
+            current_config: current_config.clone(),
             balancers: RwLock::default(),
             inbound: inbound.clone(),
             peers: peers.clone(),
             quotas: quotas.clone(),
             suspects: suspects.clone(),
             ledger: Arc::new(LedgerClient::new(&control, cx.key.clone())),
-            newer: newer.clone(),
+            newest_peer: newest_peer.clone(),
             retries: RetryOptions {
                 share: settings.retry_share,
                 hedge_share: settings.hedge_share,
@@ -160,10 +161,10 @@
             clock,
             metrics: cx.metrics.clone(),
         });
-        let library = Arc::new(Mutex::new(UpdateCache::new(LIBRARY_BYTES)));
-        let downloads = Arc::new(Downloads::new(Tools {
-            held: held.clone(),
-            library: library.clone(),
+        let update_cache = Arc::new(Mutex::new(UpdateCache::new(UPDATE_CACHE_BYTES)));
+        let downloads = Arc::new(Downloads::new(sync::Dependencies {
+            current_config: current_config.clone(),
+            update_cache: update_cache.clone(),
             peers: peers.clone(),
             record: record.clone(),
             key: cx.key.clone(),
@@ -172,14 +173,14 @@
             metrics: cx.metrics.clone(),
         }));
         let sync = Arc::new(Sync {
-            held: held.clone(),
+            current_config: current_config.clone(),
             control: Mutex::new(ReplicaChoice::new(
                 &record.failure_domain,
                 control,
                 record.incarnation,
             )),
             record,
-            reread: cx.reread,
+            read_seeds: cx.read_seeds,
             fixed: settings.seeds.is_none(),
             instances: instances.clone(),
             routes_only,
@@ -187,19 +188,24 @@
             key: cx.key.clone(),
             peers,
             downloads: downloads.clone(),
-            told: Mutex::default(),
+            reported: Mutex::default(),
             clock,
             phases: cx.phases.clone(),
             ready: cx.ready.clone(),
             metrics: cx.metrics.clone(),
         });
-        // Subscribed before anything can be taken: a revision taken earlier would go unseen.
-        let revisions = held.subscribe();
-        tokio::spawn(put_in_force(revisions, held.clone(), outbound.clone(), inbound.clone()));
-        tokio::spawn(sync.clone().show_revisions(held.subscribe()));
+        // Subscribes before any task can apply an update, so that no revision is missed.
+        let revisions = current_config.subscribe();
+        tokio::spawn(apply_revisions(
+            revisions,
+            current_config.clone(),
+            outbound.clone(),
+            inbound.clone(),
+        ));
+        tokio::spawn(sync.clone().publish_revisions(current_config.subscribe()));
         tokio::spawn(downloads.run());
         tokio::spawn(sync.clone().run());
-        tokio::spawn(sync.follow_peers(newer));
+        tokio::spawn(sync.follow_peers(newest_peer));
         let health_checks = HealthCheckContext { clock, metrics: cx.metrics.clone() };
         tokio::spawn(health_checks::run(inbound.clone(), health_checks));
         let readiness = Readiness {
@@ -211,8 +217,8 @@
             inbound: inbound.clone(),
             quotas,
             suspects,
-            held: held.clone(),
-            library,
+            current_config: current_config.clone(),
+            update_cache,
             fingerprints,
             key: cx.key,
             clock,
@@ -244,7 +250,12 @@
         });
         log::info!("daemon: callers on {}", settings.caller_address);
         log::info!("daemon: peers on {}", settings.peer_address);
-        Ok(Daemon { callers: tokio::spawn(callers), peers: tokio::spawn(peers), inbound, held })
+        Ok(Daemon {
+            callers: tokio::spawn(callers),
+            peers: tokio::spawn(peers),
+            inbound,
+            current_config,
+        })
     }
 
     /// Returns the inbound.
@@ -252,12 +263,12 @@
         &self.inbound
     }
 
-    /// Returns the shared state held.
-    pub fn held(&self) -> &Arc<CurrentConfigCell> {
-        &self.held
+    /// Returns the current shared state.
+    pub fn current_config(&self) -> &Arc<CurrentConfigCell> {
+        &self.current_config
     }
 
-    /// Ends once the last answers are out. The phase must be closing by then.
+    /// Waits until the last responses are sent. The process must be in the closing phase.
     pub async fn stop(self) {
         let _ = self.callers.await;
         let _ = self.peers.await;
@@ -265,7 +276,7 @@
     }
 }
 
-/// Returns the RPC addresses of control to begin with.
+/// Returns the initial RPC addresses of control.
 fn control_addresses(settings: &DaemonSettings) -> Vec<String> {
     match &settings.seeds {
         Some(seeds) => seeds::rpc_addresses(seeds),
@@ -273,7 +284,7 @@
     }
 }
 
-/// Tells whether this daemon is to get work.
+/// Answers readiness probes.
 #[derive(Clone)]
 struct Readiness {
     interface: Arc<dyn CallInterface>,
@@ -284,7 +295,7 @@
 impl Readiness {
     fn answer(&self, path: &str) -> Response<Body> {
         if !self.interface.is_readiness(path) {
-            return observe::plain(StatusCode::NOT_FOUND, "only readiness is told here\n");
+            return observe::plain(StatusCode::NOT_FOUND, "only readiness is served here\n");
         }
         let serving = self.phases.now() == Phase::Serving;
         match serving && self.ready.load(Ordering::Relaxed) {
@@ -295,7 +306,7 @@
 }
 
 fn record(all: &Settings, settings: &DaemonSettings, listener: &TcpListener) -> HostRecord {
-    // Port 0 stands for any free port: the one that was given is told to the others.
+    // Port 0 selects any free port; the record announces the selected one.
     let local = listener.local_addr().map(|a| a.to_string());
     let local = local.unwrap_or_else(|_| settings.peer_address.clone());
     HostRecord {
@@ -325,19 +336,19 @@
     LocalServers::new(host, opts, clock, cx.interface.id_header(), cx.metrics.clone())
 }
 
-/// Puts each revision in force that is taken.
-async fn put_in_force(
+/// Applies each new revision to the inbound and outbound sides.
+async fn apply_revisions(
     mut revisions: watch::Receiver<Revision>,
-    held: Arc<CurrentConfigCell>,
+    current_config: Arc<CurrentConfigCell>,
     outbound: Arc<Outbound>,
     inbound: Arc<Inbound>,
 ) {
     let mut was_evacuated = false;
     while revisions.changed().await.is_ok() {
-        let now = held.get();
+        let now = current_config.get();
         let is_evacuated = shared::is_evacuated(&now.shared, &inbound.host);
         if std::mem::replace(&mut was_evacuated, is_evacuated) && !is_evacuated {
-            // Its backend servers may have become cold while they got no work.
+            // The backend servers may have become cold without load.
             inbound.local_servers.invalidate_warmth();
         }
         inbound.local_servers.apply_config(&now);
