--- a/crates/cherrystream-daemon/src/outbound/at_most_once.rs
+++ b/crates/cherrystream-daemon/src/outbound/at_most_once.rs
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Largest number of query_count about earlier attempts before the request is refused.
+/// Largest number of queries about earlier attempts before the request is refused.
 const MAX_QUERIES: u32 = 3;
 /// Age in milliseconds from which an attempt that has not reached its inbound is fenced. A younger
 /// attempt may still be in flight, and two callers that send the same key could keep fencing each
--- a/crates/cherrystream/src/process.rs
+++ b/crates/cherrystream/src/process.rs
@@ -18,7 +18,7 @@
 /// costs more time than they gain.
 const DEFAULT_WORKERS: u32 = 1;
 
-/// Runs the roles that a settings file enables until a signal stop_signals the process.
+/// Runs the roles that a settings file enables until a signal stops the process.
 ///
 /// # Errors
 ///
